--- a/entry/idle.c
+++ b/entry/idle.c
@@ -44,7 +44,7 @@
 }
 
 static const char *const standing_words[] = {
-	[TR_FLOOR_AT_WORK] = "at-work",
+	[TR_FLOOR_ACTIVE] = "at-work",
 	[TR_FLOOR_FAILED_LATELY] = "failed-lately",
 	[TR_FLOOR_NEW] = "new",
 	[TR_FLOOR_IN_FLIGHT] = "in-flight",
@@ -98,7 +98,7 @@
 		 row->others_in_flight, row->full_until > now,
 		 row->unreachable_until > now, row->rests_until > now,
 		 tr_roster_limit(&e->roster, row) != NULL,
-		 standing_words[tr_floor_standing(&check, row, now)]);
+		 standing_words[tr_floor_target_state(&check, row, now)]);
 }
 
 static const char *const verdict_words[] = {
@@ -136,7 +136,7 @@
 		 "idle=%.1f idle_fitting=%u ended=%.1f failing=%.3f rate=%.1f "
 		 "unasked_idle=%u unasked_in_flight=%u unasked_failed=%u",
 		 svc->name, verdict_words[verdict], missing, check->at_work,
-		 check->at_rest, check->idle_well, check->idle_count,
+		 check->at_rest, check->idle_healthy, check->idle_count,
 		 load.outcomes, load.failing, load.rate,
 		 unasked->count[TR_FLOOR_IDLE],
 		 unasked->count[TR_FLOOR_IN_FLIGHT],
@@ -164,7 +164,7 @@
 				   tr_gray_probability(&row->gray, now),
 				   row->full_until <= now, now);
 		if (now - row->used_at >= IDLE_FOR)
-			unasked[row->service].count[tr_floor_standing(
+			unasked[row->service].count[tr_floor_target_state(
 				&checks[row->service], row, now)]++;
 	}
 	for (uint32_t s = 0; s < roster->services_count; s++)
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -179,7 +179,7 @@
 
 		if (!row->used || row->home_of == m->generation)
 			continue;
-		row->home = tr_group_home(m, row->data_centre, row->hash);
+		row->home = tr_groups_home(m, row->data_centre, row->hash);
 		row->away = row->home != m->nodes[0].group;
 		row->home_of = m->generation;
 	}
@@ -208,7 +208,7 @@
 
 	if ((apr_time_t)m->near_count * URGENT_GAP_A_VM > gap)
 		gap = (apr_time_t)m->near_count * URGENT_GAP_A_VM;
-	if (tr_group_count(m, now) && m->groups_count > 1)
+	if (tr_groups_count_alive(m, now) && m->groups_count > 1)
 		log_groups(m);
 	find_homes(mesh);
 	if (!mesh->e->ready || now - mesh->called_at >= CALL_EVERY) {
--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -201,7 +201,8 @@
 	int ended = (int)reported->in_flight - (int)in->in_flight;
 
 	for (int s = 0; s < TR_SYMPTOMS; s++)
-		if (tr_gray_is_end((enum tr_symptom)s) || s == TR_SYMPTOM_LATE)
+		if (tr_symptom_ends_request((enum tr_symptom)s) ||
+		    s == TR_SYMPTOM_LATE)
 			ended -= (uint16_t)(totals->count[s] -
 					    reported->totals.count[s]);
 	return ended > 0;
@@ -216,7 +217,7 @@
 	int begun = (int)in->in_flight - (int)reported->in_flight;
 
 	for (int s = 0; s < TR_SYMPTOMS; s++)
-		if (tr_gray_is_end((enum tr_symptom)s))
+		if (tr_symptom_ends_request((enum tr_symptom)s))
 			begun += (uint16_t)(totals->count[s] -
 					    reported->totals.count[s]);
 	return begun > 0;
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -117,7 +117,7 @@
 		break;
 	case UPSTREAM_UNREACHED:
 		row->unreachable_until = entry_now(u->e) + UNREACHABLE_FOR;
-		say(u, row, tr_gray_unreached_symptom(u->stream.refused));
+		say(u, row, tr_gray_connect_failure_symptom(u->stream.refused));
 		break;
 	case UPSTREAM_FAILED:
 	case UPSTREAM_BROKEN:
@@ -452,7 +452,7 @@
 	u->row = at;
 	u->hash = row->hash;
 	u->connected = false;
-	u->stage = TR_STAGE_USUAL;
+	u->stage = TR_STAGE_NORMAL;
 	u->began = entry_now(e);
 	u->sent_at = u->began;
 	u->expected = request->expected;
@@ -503,10 +503,11 @@
 		return u->began + CONNECT_TIMEOUT;
 	while (u->stage < TR_STAGE_OVERDUE &&
 	       tr_mechanism_on(TR_MECH_RUNNING_AGE)) {
-		enum tr_stage next = (enum tr_stage)(u->stage + 1);
+		enum tr_request_stage next =
+			(enum tr_request_stage)(u->stage + 1);
 		apr_time_t at =
 			u->sent_at +
-			tr_gray_stage_after(next, u->expected, u->spread);
+			tr_gray_stage_start(next, u->expected, u->spread);
 
 		if (now < at)
 			return at;
--- a/entry/upstream.h
+++ b/entry/upstream.h
@@ -31,7 +31,7 @@
 	struct entry *e;
 	bool active;
 	bool connected;
-	enum tr_stage stage;
+	enum tr_request_stage stage;
 	bool refused_421;
 	bool noticed;
 	uint32_t row;
--- a/lib/floor.c
+++ b/lib/floor.c
@@ -64,8 +64,8 @@
 }
 
 /* Of the VMs that send requests only some do so for the floor at a time. */
-void tr_floor_check_take_turns(struct tr_floor_check *check,
-			       const struct tr_floor_turns *turns)
+void tr_floor_check_set_rotation(struct tr_floor_check *check,
+				 const struct tr_floor_rotation *turns)
 {
 	check->turns = *turns;
 }
@@ -74,7 +74,7 @@
 void tr_floor_check_set_load(struct tr_floor_check *check,
 			     const struct tr_floor_load *load)
 {
-	check->many_fail = load->failing >= FAILING;
+	check->high_failure_rate = load->failing >= FAILING;
 }
 
 /* Keep those that are most probably well, in order. */
@@ -83,7 +83,7 @@
 {
 	unsigned i = check->idle_count;
 
-	if (i < TR_FLOOR_IDLE_MOST)
+	if (i < TR_FLOOR_IDLE_MAX)
 		check->idle_count++;
 	else if (idle->risk >= check->idle[--i].risk)
 		return;
@@ -104,18 +104,18 @@
 	apr_time_t failed_at = row->failed_at;
 	apr_time_t sound_at = row->hung_at + SOUND_AFTER;
 
-	if (check->many_fail && failed_at > sound_at)
+	if (check->high_failure_rate && failed_at > sound_at)
 		failed_at = sound_at;
 	return failed_at > row->used_at ? failed_at : row->used_at;
 }
 
 /* How the target stands with the floor. */
-enum tr_floor_standing tr_floor_standing(const struct tr_floor_check *check,
-					 const struct tr_instance *row,
-					 apr_time_t now)
+enum tr_floor_target_state
+tr_floor_target_state(const struct tr_floor_check *check,
+		      const struct tr_instance *row, apr_time_t now)
 {
 	if (now - row->used_at < check->idle_after)
-		return TR_FLOOR_AT_WORK;
+		return TR_FLOOR_ACTIVE;
 	if (now - idle_since(check, row) < check->idle_after)
 		return TR_FLOOR_FAILED_LATELY;
 	if (now - row->known_since < NEW_FOR)
@@ -135,17 +135,18 @@
 			bool fits, apr_time_t now)
 {
 	apr_time_t late = now - idle_since(check, row) - check->idle_after;
-	enum tr_floor_standing stands = tr_floor_standing(check, row, now);
+	enum tr_floor_target_state stands =
+		tr_floor_target_state(check, row, now);
 	double well = 1 - risk;
 
-	if (stands == TR_FLOOR_AT_WORK) {
+	if (stands == TR_FLOOR_ACTIVE) {
 		check->at_work += well;
 		check->at_rest += tr_instance_in_flight(row, now) ? 0 : well;
 		return;
 	}
 	if (stands != TR_FLOOR_IDLE)
 		return;
-	check->idle_well += well;
+	check->idle_healthy += well;
 	if (fits)
 		add_idle(check,
 			 &(struct tr_floor_idle){
@@ -164,7 +165,7 @@
 		       const struct tr_floor_load *load)
 {
 	return load->outcomes >=
-	       LEAST_WORK * (check->at_work + check->idle_well);
+	       LEAST_WORK * (check->at_work + check->idle_healthy);
 }
 
 /* How many of the targets that would be counted now must be put to work. While
@@ -172,12 +173,12 @@
 static double missing_of(const struct tr_floor_check *check, double share,
 			 const struct tr_floor_load *load)
 {
-	double counted = check->at_rest + check->idle_well;
+	double counted = check->at_rest + check->idle_healthy;
 	double in_flight = check->at_work - check->at_rest;
 	double spare = SPARE + SPARE_IN_FLIGHT * in_flight;
 
 	if (load->failing >= FAILING || !many_ended(check, load) || counted < 1)
-		return check->idle_well;
+		return check->idle_healthy;
 	return fmin(share * counted + spare, counted) - check->at_rest;
 }
 
@@ -186,7 +187,7 @@
 static bool can_reach(const struct tr_floor_check *check, double share,
 		      const struct tr_floor_load *load)
 {
-	double targets = check->at_work + check->idle_well;
+	double targets = check->at_work + check->idle_healthy;
 
 	return many_ended(check, load) ||
 	       load->rate * SPAN_S >= share * targets;
@@ -212,7 +213,7 @@
  * targets idle, and hear of each other's requests only later: until then all
  * would send there.
  */
-static bool has_turn(const struct tr_floor_turns *turns,
+static bool has_turn(const struct tr_floor_rotation *turns,
 		     const struct tr_floor_idle *idle, double rate)
 {
 	uint64_t turn = (uint64_t)(idle->due_for / NEXT_TURN_AFTER);
--- a/lib/floor.h
+++ b/lib/floor.h
@@ -4,11 +4,11 @@
 #include "roster.h"
 
 /* Targets that may be due at the same time. */
-#define TR_FLOOR_IDLE_MOST 32
+#define TR_FLOOR_IDLE_MAX 32
 
 /* This VM's place among those of its group that send requests, and how many
  * there are, 0 or 1 where it knows of no other. */
-struct tr_floor_turns {
+struct tr_floor_rotation {
 	unsigned place;
 	unsigned vms;
 };
@@ -27,17 +27,17 @@
  * How much of a service is at work: its targets, each by the chance that it is
  * well; those that had a request within idle_after, of them those at rest,
  * which have none in flight; and those that are idle, the one with the least
- * time left first. many_fail: so many requests fail that operators look at
- * which targets are at work.
+ * time left first. high_failure_rate: so many requests fail that operators look
+ * at which targets are at work.
  */
 struct tr_floor_check {
-	struct tr_floor_turns turns;
+	struct tr_floor_rotation turns;
 	apr_time_t idle_after;
-	bool many_fail;
+	bool high_failure_rate;
 	double at_work;
 	double at_rest;
-	double idle_well;
-	struct tr_floor_idle idle[TR_FLOOR_IDLE_MOST];
+	double idle_healthy;
+	struct tr_floor_idle idle[TR_FLOOR_IDLE_MAX];
 	unsigned idle_count;
 };
 
@@ -52,8 +52,8 @@
 /* How a target stands with the floor: it had a request lately, or got none and
  * is not asked for one since it failed lately, has just come or has a request
  * in flight, or it is idle. */
-enum tr_floor_standing {
-	TR_FLOOR_AT_WORK,
+enum tr_floor_target_state {
+	TR_FLOOR_ACTIVE,
 	TR_FLOOR_FAILED_LATELY,
 	TR_FLOOR_NEW,
 	TR_FLOOR_IN_FLIGHT,
@@ -68,13 +68,13 @@
 };
 
 void tr_floor_check_init(struct tr_floor_check *check, bool may_repeat);
-void tr_floor_check_take_turns(struct tr_floor_check *check,
-			       const struct tr_floor_turns *turns);
+void tr_floor_check_set_rotation(struct tr_floor_check *check,
+				 const struct tr_floor_rotation *turns);
 void tr_floor_check_set_load(struct tr_floor_check *check,
 			     const struct tr_floor_load *load);
-enum tr_floor_standing tr_floor_standing(const struct tr_floor_check *check,
-					 const struct tr_instance *row,
-					 apr_time_t now);
+enum tr_floor_target_state
+tr_floor_target_state(const struct tr_floor_check *check,
+		      const struct tr_instance *row, apr_time_t now);
 void tr_floor_check_add(struct tr_floor_check *check,
 			const struct tr_instance *row, uint32_t at, double risk,
 			bool fits, apr_time_t now);
--- a/lib/gray.c
+++ b/lib/gray.c
@@ -46,7 +46,7 @@
 /* Where a stage begins, in standard deviations of the logarithm of the times
  * that answers take. */
 static const double stage_deviations[] = {
-	[TR_STAGE_USUAL] = 0,
+	[TR_STAGE_NORMAL] = 0,
 	[TR_STAGE_LONG] = 0.67,
 	[TR_STAGE_LATE] = 1.34,
 	[TR_STAGE_OVERDUE] = 2.3,
@@ -74,14 +74,14 @@
 		 apr_time_t now)
 {
 	static const double steps[TR_SYMPTOMS] = {
-		[TR_SYMPTOM_GOOD] = GOOD_STEP,
+		[TR_SYMPTOM_ANSWERED] = GOOD_STEP,
 		[TR_SYMPTOM_LONG] = LONG_STEP,
 		[TR_SYMPTOM_LATE] = LATE_STEP,
 		[TR_SYMPTOM_OVERDUE] = OVERDUE_STEP,
 		[TR_SYMPTOM_FAILED] = FAIL_STEP,
-		[TR_SYMPTOM_LONG_GOOD] = LONG_GOOD_STEP,
-		[TR_SYMPTOM_LATE_GOOD] = LATE_GOOD_STEP,
-		[TR_SYMPTOM_SLOW] = SLOW_STEP,
+		[TR_SYMPTOM_ANSWERED_LONG] = LONG_GOOD_STEP,
+		[TR_SYMPTOM_ANSWERED_LATE] = LATE_GOOD_STEP,
+		[TR_SYMPTOM_ANSWERED_OVERDUE] = SLOW_STEP,
 	};
 	double p = faded(gray, now);
 	double odds = log(p / (1 - p)) + steps[symptom] * times;
@@ -92,7 +92,7 @@
 
 /* Take over the chance that others, who know the target better, have come to.
  */
-void tr_gray_set(struct tr_gray *gray, double risk, apr_time_t now)
+void tr_gray_set_probability(struct tr_gray *gray, double risk, apr_time_t now)
 {
 	double most = chance(MOST_ODDS);
 	double least = chance(LEAST_ODDS);
@@ -115,22 +115,22 @@
  * a single request that hung at a service of even times (spread 0.3) counted as
  * overdue after 0.96 s; by its own spread it does after 0.46 s.
  */
-apr_time_t tr_gray_stage_after(enum tr_stage stage, apr_time_t usual,
+apr_time_t tr_gray_stage_start(enum tr_request_stage stage, apr_time_t usual,
 			       double spread)
 {
 	double factor =
 		exp(spread * stage_deviations[stage] - spread * spread / 2);
 
-	if (stage == TR_STAGE_USUAL)
+	if (stage == TR_STAGE_NORMAL)
 		return 0;
 	return (apr_time_t)(factor * (double)usual);
 }
 
 /* What is said of a request that has come to the stage and still runs. */
-enum tr_symptom tr_gray_stage_symptom(enum tr_stage stage)
+enum tr_symptom tr_gray_stage_symptom(enum tr_request_stage stage)
 {
 	static const enum tr_symptom symptoms[] = {
-		TR_SYMPTOM_GOOD,
+		TR_SYMPTOM_ANSWERED,
 		TR_SYMPTOM_LONG,
 		TR_SYMPTOM_LATE,
 		TR_SYMPTOM_OVERDUE,
@@ -140,13 +140,13 @@
 }
 
 /* What is said of one that is answered at the stage. */
-enum tr_symptom tr_gray_answer_symptom(enum tr_stage stage)
+enum tr_symptom tr_gray_answer_symptom(enum tr_request_stage stage)
 {
 	static const enum tr_symptom symptoms[] = {
-		TR_SYMPTOM_GOOD,
-		TR_SYMPTOM_LONG_GOOD,
-		TR_SYMPTOM_LATE_GOOD,
-		TR_SYMPTOM_SLOW,
+		TR_SYMPTOM_ANSWERED,
+		TR_SYMPTOM_ANSWERED_LONG,
+		TR_SYMPTOM_ANSWERED_LATE,
+		TR_SYMPTOM_ANSWERED_OVERDUE,
 	};
 
 	return symptoms[stage];
@@ -158,13 +158,13 @@
  * others are answered, and the request goes on to the next target unharmed, so
  * it takes several VMs to hold the target to be gray for it.
  */
-enum tr_symptom tr_gray_unreached_symptom(bool refused)
+enum tr_symptom tr_gray_connect_failure_symptom(bool refused)
 {
 	return refused ? TR_SYMPTOM_FAILED : TR_SYMPTOM_LATE;
 }
 
 /* Is the symptom said when a request ends, and not while it runs? */
-bool tr_gray_is_end(enum tr_symptom symptom)
+bool tr_symptom_ends_request(enum tr_symptom symptom)
 {
 	return symptom != TR_SYMPTOM_LONG && symptom != TR_SYMPTOM_LATE &&
 	       symptom != TR_SYMPTOM_OVERDUE;
--- a/lib/gray.h
+++ b/lib/gray.h
@@ -11,20 +11,20 @@
  * LONG_GOOD, LATE_GOOD or SLOW.
  */
 enum tr_symptom {
-	TR_SYMPTOM_GOOD,
+	TR_SYMPTOM_ANSWERED,
 	TR_SYMPTOM_LONG,
 	TR_SYMPTOM_LATE,
 	TR_SYMPTOM_OVERDUE,
 	TR_SYMPTOM_FAILED,
-	TR_SYMPTOM_LONG_GOOD,
-	TR_SYMPTOM_LATE_GOOD,
-	TR_SYMPTOM_SLOW,
+	TR_SYMPTOM_ANSWERED_LONG,
+	TR_SYMPTOM_ANSWERED_LATE,
+	TR_SYMPTOM_ANSWERED_OVERDUE,
 	TR_SYMPTOMS,
 };
 
 /* How far a running request has come. */
-enum tr_stage {
-	TR_STAGE_USUAL,
+enum tr_request_stage {
+	TR_STAGE_NORMAL,
 	TR_STAGE_LONG,
 	TR_STAGE_LATE,
 	TR_STAGE_OVERDUE,
@@ -45,13 +45,13 @@
 
 void tr_gray_add(struct tr_gray *gray, enum tr_symptom symptom, unsigned times,
 		 apr_time_t now);
-void tr_gray_set(struct tr_gray *gray, double risk, apr_time_t now);
+void tr_gray_set_probability(struct tr_gray *gray, double risk, apr_time_t now);
 double tr_gray_probability(const struct tr_gray *gray, apr_time_t now);
-apr_time_t tr_gray_stage_after(enum tr_stage stage, apr_time_t usual,
+apr_time_t tr_gray_stage_start(enum tr_request_stage stage, apr_time_t usual,
 			       double spread);
-enum tr_symptom tr_gray_stage_symptom(enum tr_stage stage);
-enum tr_symptom tr_gray_answer_symptom(enum tr_stage stage);
-enum tr_symptom tr_gray_unreached_symptom(bool refused);
-bool tr_gray_is_end(enum tr_symptom symptom);
+enum tr_symptom tr_gray_stage_symptom(enum tr_request_stage stage);
+enum tr_symptom tr_gray_answer_symptom(enum tr_request_stage stage);
+enum tr_symptom tr_gray_connect_failure_symptom(bool refused);
+bool tr_symptom_ends_request(enum tr_symptom symptom);
 
 #endif
--- a/lib/group.c
+++ b/lib/group.c
@@ -136,7 +136,7 @@
 }
 
 /* Form the groups anew: a VM was learned, or a data centre, or the size. */
-void tr_group_all(struct tr_membership *m)
+void tr_groups_rebuild(struct tr_membership *m)
 {
 	static const char nowhere[TR_ID_MAX + 1];
 
@@ -178,12 +178,12 @@
  * large, or the fleet, are all formed anew: a VM that has just started learns
  * thousands.
  */
-void tr_group_add(struct tr_membership *m, struct tr_node *node)
+void tr_groups_add_node(struct tr_membership *m, struct tr_node *node)
 {
 	m->near_count -= node->near;
 	node->near = false;
 	if (outgrows(m, node))
-		tr_group_all(m);
+		tr_groups_rebuild(m);
 	else
 		place_node(m, node);
 }
@@ -192,7 +192,7 @@
  * Count the VMs that live, by group, when it is time. True when another set of
  * groups lives than before, so that targets change their homes.
  */
-bool tr_group_count(struct tr_membership *m, apr_time_t now)
+bool tr_groups_count_alive(struct tr_membership *m, apr_time_t now)
 {
 	bool changed = false;
 
@@ -217,8 +217,8 @@
  * The group that answers for the target: one of its own data centre, or while
  * none of that lives, any that does.
  */
-uint16_t tr_group_home(const struct tr_membership *m, const char *data_centre,
-		       uint32_t target)
+uint16_t tr_groups_home(const struct tr_membership *m, const char *data_centre,
+			uint32_t target)
 {
 	uint16_t home;
 
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -83,7 +83,7 @@
 	me = new_node(m, ip);
 	me->boot = boot;
 	strncpy(me->data_centre, data_centre, TR_ID_MAX);
-	tr_group_all(m);
+	tr_groups_rebuild(m);
 	return 0;
 }
 
@@ -110,7 +110,7 @@
 	if (i != TR_NO_ROW)
 		return &m->nodes[i];
 	new_node(m, ip);
-	tr_group_add(m, &m->nodes[m->count - 1]);
+	tr_groups_add_node(m, &m->nodes[m->count - 1]);
 	return &m->nodes[m->count - 1];
 }
 
@@ -120,7 +120,7 @@
 	if (!*data_centre || !strcmp(node->data_centre, data_centre))
 		return;
 	strncpy(node->data_centre, data_centre, TR_ID_MAX);
-	tr_group_add(m, node);
+	tr_groups_add_node(m, node);
 }
 
 /* The same, where it is told in which data centre the VM is. */
@@ -145,7 +145,7 @@
 	if (reported <= tr_membership_size(m) || reported > FLEET_MOST)
 		return;
 	m->size_reported = reported;
-	tr_group_all(m);
+	tr_groups_rebuild(m);
 }
 
 static bool is_retired(const struct tr_node *node, uint64_t boot)
--- a/lib/place.c
+++ b/lib/place.c
@@ -258,7 +258,7 @@
 
 	tr_floor_check_init(&check,
 			    req->may_repeat && tr_mechanism_on(TR_MECH_SCOUTS));
-	tr_floor_check_take_turns(&check, &req->turns);
+	tr_floor_check_set_rotation(&check, &req->turns);
 	tr_floor_check_set_load(&check, &load);
 	placing->row = TR_NO_ROW;
 	placing->cost = INFINITY;
--- a/lib/place.h
+++ b/lib/place.h
@@ -32,7 +32,7 @@
 	bool standing_queue;
 	double wanted;
 	double heard;
-	struct tr_floor_turns turns;
+	struct tr_floor_rotation turns;
 };
 
 struct tr_placing {
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -579,7 +579,7 @@
 	row->reported_in_flight =
 		(uint16_t)(in_flight < UINT16_MAX ? in_flight : UINT16_MAX);
 	row->reported_at = now;
-	tr_gray_set(&row->gray, risk, now);
+	tr_gray_set_probability(&row->gray, risk, now);
 }
 
 /*
@@ -614,14 +614,15 @@
 	tr_service_stats_outcomes(&roster->services[row->service], symptom,
 				  times, now);
 	if (symptom == TR_SYMPTOM_OVERDUE) {
-		sent_at = now - tr_gray_stage_after(TR_STAGE_OVERDUE, usual,
+		sent_at = now - tr_gray_stage_start(TR_STAGE_OVERDUE, usual,
 						    tr_worktime_spread(takes));
 		set_latest(&row->hung_at, sent_at);
 		set_latest(&row->failed_at, sent_at);
 	} else if (symptom == TR_SYMPTOM_FAILED) {
 		set_latest(&row->hung_at, now);
 		set_latest(&row->failed_at, now);
-	} else if (tr_gray_is_end(symptom) && symptom != TR_SYMPTOM_SLOW) {
+	} else if (tr_symptom_ends_request(symptom) &&
+		   symptom != TR_SYMPTOM_ANSWERED_OVERDUE) {
 		set_latest(&row->answered_at, now);
 		set_latest(&row->answered_sent_at, now - usual);
 	}
--- a/lib/service_stats.c
+++ b/lib/service_stats.c
@@ -55,7 +55,7 @@
 	s->lately_at = now;
 	if (symptom == TR_SYMPTOM_OVERDUE || symptom == TR_SYMPTOM_FAILED)
 		s->lately_bad += times;
-	else if (tr_gray_is_end(symptom))
+	else if (tr_symptom_ends_request(symptom))
 		s->lately_good += times;
 }
 
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -62,7 +62,7 @@
 	apr_time_t ends_at;
 	bool reached;
 	bool hangs;
-	tr_stage stage;
+	tr_request_stage stage;
 	std::vector<uint32_t> tried;
 };
 
@@ -291,7 +291,7 @@
 		tr_instance *row = &vm.e.roster.rows[p.row];
 		Target &t = targets[p.row];
 		Request r{
-			v, p.row, now, 0, true, false, TR_STAGE_USUAL, tried
+			v, p.row, now, 0, true, false, TR_STAGE_NORMAL, tried
 		};
 
 		for_floor += p.for_floor;
@@ -334,10 +334,10 @@
 		tr_service_stats *svc = &vm.e.roster.services[0];
 
 		while (r.reached && r.stage < TR_STAGE_OVERDUE) {
-			auto next = (tr_stage)(r.stage + 1);
+			auto next = (tr_request_stage)(r.stage + 1);
 
 			if (now - r.sent_at <
-			    tr_gray_stage_after(
+			    tr_gray_stage_start(
 				    next, tr_service_stats_usual(svc, AIM),
 				    tr_service_stats_spread(svc)))
 				return;
@@ -359,7 +359,8 @@
 		vm.soon = true;
 		if (!r.reached) {
 			row->unreachable_until = now + UNREACHABLE_FOR;
-			say(vm, r.row, tr_gray_unreached_symptom(false), age);
+			say(vm, r.row, tr_gray_connect_failure_symptom(false),
+			    age);
 			send(r.vm, r.tried);
 			return;
 		}
@@ -517,7 +518,7 @@
 		tr_floor_check alone;
 
 		tr_floor_check_init(&alone, false);
-		alone.many_fail = check.many_fail;
+		alone.high_failure_rate = check.high_failure_rate;
 		tr_floor_check_add(&alone, row, at, 0, true, now);
 		if (alone.idle_count && !alone.idle[0].left) {
 			for (unsigned i = 0; i < check.idle_count; i++) {
@@ -606,7 +607,7 @@
 								 since));
 	}
 
-	bool many_fail() const
+	bool high_failure_rate() const
 	{
 		unsigned all = 0;
 		unsigned failed = 0;
@@ -622,7 +623,7 @@
 	{
 		ends++;
 		short_ends += is_short(true, causes);
-		if (!many_fail())
+		if (!high_failure_rate())
 			return;
 		failing_spans++;
 		short_failing_spans += is_short(false, failing_causes);
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -184,8 +184,8 @@
 			if (r.hangs && tells_ends)
 				tr_roster_hang_ended(row, now);
 			if (!r.hangs)
-				tr_roster_outcome(&roster, row, TR_SYMPTOM_GOOD,
-						  1, now);
+				tr_roster_outcome(&roster, row,
+						  TR_SYMPTOM_ANSWERED, 1, now);
 		}
 		running.erase(std::remove_if(running.begin(), running.end(),
 					     [&](const Request &r) {
--- a/tests/floor_test.cc
+++ b/tests/floor_test.cc
@@ -50,7 +50,7 @@
 {
 	tr_floor_check check;
 	const auto standing = [&](const tr_instance &row) {
-		return tr_floor_standing(&check, &row, now);
+		return tr_floor_target_state(&check, &row, now);
 	};
 
 	tr_floor_check_init(&check, false);
@@ -59,7 +59,7 @@
 	rows[2].failed_at = now - TR_SEC(1);
 	rows[3].known_since = now - TR_SEC(1);
 	rows[4].others_in_flight = 1;
-	EXPECT_EQ(standing(rows[0]), TR_FLOOR_AT_WORK);
+	EXPECT_EQ(standing(rows[0]), TR_FLOOR_ACTIVE);
 	EXPECT_EQ(standing(rows[1]), TR_FLOOR_IDLE);
 	EXPECT_EQ(standing(rows[2]), TR_FLOOR_FAILED_LATELY);
 	EXPECT_EQ(standing(rows[3]), TR_FLOOR_NEW);
@@ -388,7 +388,7 @@
 	{
 		const tr_worktime *takes = &roster.services[0].takes;
 
-		return tr_gray_stage_after(TR_STAGE_OVERDUE,
+		return tr_gray_stage_start(TR_STAGE_OVERDUE,
 					   tr_worktime_mean(takes, 0),
 					   tr_worktime_spread(takes));
 	}
@@ -401,7 +401,7 @@
 
 	void say(tr_symptom symptom)
 	{
-		if (tr_gray_is_end(symptom))
+		if (tr_symptom_ends_request(symptom))
 			target()->in_flight--;
 		tr_roster_outcome(&roster, target(), symptom, 1, now);
 	}
@@ -450,7 +450,7 @@
 	apr_time_t later = now;
 	send();
 	now += TR_MSEC(200);
-	say(TR_SYMPTOM_GOOD);
+	say(TR_SYMPTOM_ANSWERED);
 	EXPECT_LE(due_after(later), in_time);
 }
 
@@ -465,7 +465,7 @@
 	apr_time_t later = now;
 	send();
 	now += TR_MSEC(200);
-	say(TR_SYMPTOM_GOOD);
+	say(TR_SYMPTOM_ANSWERED);
 	now = first + overdue_after();
 	say(TR_SYMPTOM_OVERDUE);
 	EXPECT_LE(due_after(later), in_time);
@@ -483,7 +483,7 @@
 		apr_time_t later = now;
 		send();
 		now += TR_MSEC(200);
-		say(TR_SYMPTOM_GOOD);
+		say(TR_SYMPTOM_ANSWERED);
 		now += ends;
 		end_hang();
 		EXPECT_LE(due_after(later), in_time) << ends;
@@ -499,7 +499,7 @@
 	apr_time_t later = now;
 	send();
 	now += TR_MSEC(100);
-	say(TR_SYMPTOM_GOOD);
+	say(TR_SYMPTOM_ANSWERED);
 	now = later + overdue_after();
 	say(TR_SYMPTOM_OVERDUE);
 	while (now - later < TR_SEC(3)) {
@@ -568,7 +568,7 @@
 	apr_time_t failure = now;
 
 	now += TR_MSEC(60);
-	say(TR_SYMPTOM_LONG_GOOD);
+	say(TR_SYMPTOM_ANSWERED_LONG);
 	EXPECT_GE(due_after(failure), TR_SEC(1));
 	EXPECT_LE(now - failure, in_time);
 }
@@ -584,7 +584,7 @@
 	now = later + overdue_after();
 	say(TR_SYMPTOM_OVERDUE);
 	now += TR_MSEC(300);
-	say(TR_SYMPTOM_SLOW);
+	say(TR_SYMPTOM_ANSWERED_OVERDUE);
 	while (now - later < TR_SEC(3)) {
 		ASSERT_FALSE(is_due()) << now - later;
 		now += TR_MSEC(5);
@@ -600,7 +600,7 @@
 	apr_time_t later = now;
 	send();
 	now += TR_MSEC(200);
-	say(TR_SYMPTOM_GOOD);
+	say(TR_SYMPTOM_ANSWERED);
 	now += TR_MSEC(800);
 	say(TR_SYMPTOM_FAILED);
 	EXPECT_LE(due_after(later), in_time);
@@ -618,10 +618,10 @@
 	apr_time_t later = now;
 	send();
 	now += TR_MSEC(200);
-	say(TR_SYMPTOM_GOOD);
+	say(TR_SYMPTOM_ANSWERED);
 	/* As exchange.c has it for one that waits for a slot as long as the
 	 * work takes. */
-	now = first + tr_gray_stage_after(TR_STAGE_OVERDUE,
+	now = first + tr_gray_stage_start(TR_STAGE_OVERDUE,
 					  2 * tr_worktime_mean(takes, 0), 0.75);
 	ASSERT_GT(now, later + TR_MSEC(200));
 	say(TR_SYMPTOM_OVERDUE);
@@ -639,7 +639,7 @@
 	apr_time_t later = now;
 	send();
 	now += TR_MSEC(80);
-	say(TR_SYMPTOM_GOOD);
+	say(TR_SYMPTOM_ANSWERED);
 	now = first + overdue_after();
 	say(TR_SYMPTOM_OVERDUE);
 	EXPECT_LE(due_after(later), in_time);
@@ -657,7 +657,7 @@
 	apr_time_t later = now;
 	send();
 	now += TR_MSEC(200);
-	say(TR_SYMPTOM_GOOD);
+	say(TR_SYMPTOM_ANSWERED);
 	/* Told by a VM that has. */
 	now = first + TR_MSEC(900);
 	say(TR_SYMPTOM_OVERDUE);
--- a/tests/floor_turns_test.cc
+++ b/tests/floor_turns_test.cc
@@ -21,8 +21,8 @@
 	tr_random random{ 7 };
 
 	/* Does this request go to the idle one of three targets? */
-	bool asks(uint32_t hash, apr_time_t idle, const tr_floor_turns &turns,
-		  double rate)
+	bool asks(uint32_t hash, apr_time_t idle,
+		  const tr_floor_rotation &turns, double rate)
 	{
 		const apr_time_t now = TR_SEC(100);
 		const tr_floor_load work = { 1000, 0, rate };
@@ -30,7 +30,7 @@
 		tr_instance row{};
 
 		tr_floor_check_init(&check, false);
-		tr_floor_check_take_turns(&check, &turns);
+		tr_floor_check_set_rotation(&check, &turns);
 		row.used = true;
 		row.in_flight = 1;
 		row.used_at = now;
@@ -63,7 +63,7 @@
 				      rate;
 				if (at >= 1.98)
 					break;
-				const tr_floor_turns turns = {
+				const tr_floor_rotation turns = {
 					tr_random_below(&random, with_callers),
 					vms
 				};
--- a/tests/gray_test.cc
+++ b/tests/gray_test.cc
@@ -46,11 +46,11 @@
 	double before = p();
 
 	add(TR_SYMPTOM_LONG);
-	add(TR_SYMPTOM_LONG_GOOD);
+	add(TR_SYMPTOM_ANSWERED_LONG);
 	EXPECT_LE(p(), before + 0.01);
 	add(TR_SYMPTOM_LONG);
 	add(TR_SYMPTOM_LATE);
-	add(TR_SYMPTOM_LATE_GOOD);
+	add(TR_SYMPTOM_ANSWERED_LATE);
 	EXPECT_LE(p(), before + 0.01);
 }
 
@@ -62,7 +62,7 @@
 {
 	double unknown = p();
 
-	add(TR_SYMPTOM_GOOD, 50);
+	add(TR_SYMPTOM_ANSWERED, 50);
 	EXPECT_LT(unknown - p(), 0.035);
 }
 
@@ -89,12 +89,12 @@
 {
 	apr_time_t usual = TR_MSEC(100);
 
-	EXPECT_LT(tr_gray_stage_after(TR_STAGE_USUAL, usual, 0.7),
-		  tr_gray_stage_after(TR_STAGE_LONG, usual, 0.7));
-	EXPECT_LT(tr_gray_stage_after(TR_STAGE_LONG, usual, 0.7),
-		  tr_gray_stage_after(TR_STAGE_LATE, usual, 0.7));
-	EXPECT_LT(tr_gray_stage_after(TR_STAGE_LATE, usual, 0.7),
-		  tr_gray_stage_after(TR_STAGE_OVERDUE, usual, 0.7));
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_NORMAL, usual, 0.7),
+		  tr_gray_stage_start(TR_STAGE_LONG, usual, 0.7));
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LONG, usual, 0.7),
+		  tr_gray_stage_start(TR_STAGE_LATE, usual, 0.7));
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LATE, usual, 0.7),
+		  tr_gray_stage_start(TR_STAGE_OVERDUE, usual, 0.7));
 }
 
 /* Guards against a target that most VMs reach being held to be gray because
@@ -108,8 +108,8 @@
 	for (; times < 2000; times++) {
 		now += TR_MSEC(180);
 		add(tr_random_unit(&random) < 0.3
-			    ? tr_gray_unreached_symptom(false)
-			    : TR_SYMPTOM_GOOD);
+			    ? tr_gray_connect_failure_symptom(false)
+			    : TR_SYMPTOM_ANSWERED);
 		suspected += p() >= 0.5;
 	}
 	EXPECT_LE(suspected, times / 50);
@@ -119,11 +119,11 @@
 TEST_F(Gray, ATargetThatNobodyReachesIsSuspectedAfterAFewAttempts)
 {
 	for (int i = 0; i < 20; i++)
-		add(TR_SYMPTOM_GOOD);
+		add(TR_SYMPTOM_ANSWERED);
 	for (int i = 0; i < 6; i++)
-		add(tr_gray_unreached_symptom(false));
+		add(tr_gray_connect_failure_symptom(false));
 	EXPECT_GE(p(), 0.5);
-	add(tr_gray_unreached_symptom(true));
+	add(tr_gray_connect_failure_symptom(true));
 	EXPECT_GE(p(), 0.9);
 }
 
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -35,7 +35,7 @@
 		for (uint32_t ip = 1; ip <= fleet; ip++)
 			if (ip != me)
 				hear(ip, centre(ip));
-		tr_group_count(&m, now);
+		tr_groups_count_alive(&m, now);
 	}
 
 	~View()
@@ -69,7 +69,8 @@
 	/* The name of the group that answers for a target, the same to all. */
 	uint64_t home(const std::string &centre, uint32_t target) const
 	{
-		return m.groups[tr_group_home(&m, centre.c_str(), target)].name;
+		return m.groups[tr_groups_home(&m, centre.c_str(), target)]
+			.name;
 	}
 };
 
@@ -153,7 +154,7 @@
 		for (unsigned i = 1; i < v->m.count; i++)
 			if (std::string(v->m.nodes[i].data_centre) != "dc-5")
 				v->m.nodes[i].heard_at = v->now;
-		EXPECT_TRUE(tr_group_count(&v->m, v->now));
+		EXPECT_TRUE(tr_groups_count_alive(&v->m, v->now));
 	}
 	for (uint32_t target = 1; target <= 200; target++) {
 		EXPECT_EQ(a.home("dc-5", target), b.home("dc-5", target));
--- a/tests/mesh_test.cc
+++ b/tests/mesh_test.cc
@@ -271,7 +271,7 @@
 
 	EXPECT_GT(heard_at, 0);
 	now += TR_MSEC(250);
-	e.roster.rows[7].own.count[TR_SYMPTOM_GOOD]++;
+	e.roster.rows[7].own.count[TR_SYMPTOM_ANSWERED]++;
 	request(7, 0);
 	say(false);
 	EXPECT_EQ(other.roster.rows[7].used_at, heard_at);
@@ -293,7 +293,7 @@
 	request(7, 1);
 	say(false);
 	now += TR_SEC(2);
-	e.roster.rows[7].own.count[TR_SYMPTOM_GOOD]++;
+	e.roster.rows[7].own.count[TR_SYMPTOM_ANSWERED]++;
 	request(7, 1);
 	say(false);
 	EXPECT_TRUE(tr_instance_hang_is_old(row));
@@ -310,7 +310,8 @@
  * request begun and ended between two messages. */
 TEST_F(Rows, WhatBeginsAndEndsInOneMessageIsUse)
 {
-	for (tr_symptom s : { TR_SYMPTOM_GOOD, TR_SYMPTOM_SLOW }) {
+	for (tr_symptom s :
+	     { TR_SYMPTOM_ANSWERED, TR_SYMPTOM_ANSWERED_OVERDUE }) {
 		now += TR_SEC(1);
 		e.roster.rows[7].own.count[s]++;
 		request(7, 0);
@@ -327,7 +328,7 @@
 {
 	const tr_instance *row = &other.roster.rows[7];
 
-	e.roster.rows[7].own.count[TR_SYMPTOM_GOOD] = 300;
+	e.roster.rows[7].own.count[TR_SYMPTOM_ANSWERED] = 300;
 	request(7, 0);
 	say(false);
 	apr_time_t heard_at = row->used_at;
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -223,7 +223,7 @@
 		tr_placing p;
 
 		tr_service_stats_outcomes(&roster.services[req.service],
-					  TR_SYMPTOM_GOOD, 1, now);
+					  TR_SYMPTOM_ANSWERED, 1, now);
 		ASSERT_EQ(tr_place(&roster, &req, &random, now, &p),
 			  TR_PLACE_FOUND);
 		counts[p.row] += i >= 600;
@@ -253,8 +253,8 @@
 		tr_gray_add(&roster.rows[i].gray, TR_SYMPTOM_FAILED, 1,
 			    now - TR_SEC(4));
 	}
-	tr_service_stats_outcomes(&roster.services[0], TR_SYMPTOM_GOOD, 1000,
-				  now);
+	tr_service_stats_outcomes(&roster.services[0], TR_SYMPTOM_ANSWERED,
+				  1000, now);
 	for (const auto &[row, n] : draw(20))
 		EXPECT_GE(row, 16u);
 }
@@ -383,7 +383,7 @@
 	req.heard = 1;
 	for (int i = 0; i < 200; i++) {
 		tr_service_stats_outcomes(&roster.services[req.service],
-					  TR_SYMPTOM_GOOD, 1, now);
+					  TR_SYMPTOM_ANSWERED, 1, now);
 		ASSERT_EQ(tr_place(&roster, &req, &random, now, &p),
 			  TR_PLACE_FOUND);
 		counts[p.row]++;
--- a/tests/roster_test.cc
+++ b/tests/roster_test.cc
@@ -393,7 +393,7 @@
 		for (int i = 0; i < 9; i++)
 			tr_roster_outcome(&roster, &roster.rows[i],
 					  i < 3 ? TR_SYMPTOM_FAILED
-						: TR_SYMPTOM_GOOD,
+						: TR_SYMPTOM_ANSWERED,
 					  1, now);
 		tr_roster_step(&roster, now);
 	}
--- a/tests/worktime_test.cc
+++ b/tests/worktime_test.cc
@@ -57,9 +57,9 @@
 {
 	tr_worktime even = learned(0.2, 100), uneven = learned(0.9, 100);
 	apr_time_t usual = TR_MSEC(240);
-	apr_time_t sooner = tr_gray_stage_after(TR_STAGE_OVERDUE, usual,
+	apr_time_t sooner = tr_gray_stage_start(TR_STAGE_OVERDUE, usual,
 						tr_worktime_spread(&even));
-	apr_time_t later = tr_gray_stage_after(TR_STAGE_OVERDUE, usual,
+	apr_time_t later = tr_gray_stage_start(TR_STAGE_OVERDUE, usual,
 					       tr_worktime_spread(&uneven));
 
 	EXPECT_LT(sooner, TR_MSEC(600));
