--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -166,7 +166,7 @@
 		{ "over_limit_total", c->over_limit },
 		{ "fatal_requests_refused_total", c->fatal },
 		{ "fatal_requests_known", e->fatals.count },
-		{ "targets_saying_leaving", e->roster.saying_leaving },
+		{ "targets_saying_leaving", e->roster.says_leaving_count },
 		{ "targets_limited", e->roster.limits.holding },
 		{ "notices_refused_total", c->notices_refused },
 		{ "proof_age_ms", mesh_proof_age(e) },
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -50,7 +50,7 @@
 /* How long ago the list of targets was last known to be current. */
 apr_time_t entry_view_age(const struct entry *e)
 {
-	return entry_now(e) - e->roster.current_at;
+	return entry_now(e) - e->roster.confirmed_at;
 }
 
 /* May this VM use callers' keys? Where operators don't ask for a proof it may.
@@ -140,7 +140,8 @@
 
 	e->counts.targets_refused++;
 	if (*record->id)
-		tr_roster_refuse(&e->roster, record->id, item->revision, now);
+		tr_roster_reject_entry(&e->roster, record->id, item->revision,
+				       now);
 	if (!tr_pacer_has(&e->refusal_lines, REFUSAL_LINES_A_S, now))
 		return;
 	tr_pacer_spend(&e->refusal_lines, 1);
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -62,7 +62,7 @@
 		.service = x->service,
 		.usual = exchange_usual(x),
 		.spread = tr_service_stats_spread(svc),
-		.fail_age = tr_service_stats_fail_age(svc, aim),
+		.fail_age = tr_service_stats_failure_age(svc, aim),
 		.standing_queue = svc->standing_queue,
 		.may_repeat = x->route->kind == TR_KIND_SAFE &&
 			      x->runs + 1 < x->route->attempts,
@@ -82,7 +82,7 @@
 	req.turns.place = tr_membership_place(&e->members, now, &req.turns.vms);
 	res = tr_place(&e->roster, &req, &x->e->random, now, p);
 	if (res != TR_PLACE_NONE_KNOWN)
-		tr_service_stats_expect(svc, p->least_takes, aim, now);
+		tr_service_stats_track_queue(svc, p->least_takes, aim, now);
 	return res;
 }
 
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -191,7 +191,7 @@
 	const struct tr_organisation *organisation;
 	const struct tr_path_route *route;
 
-	if (!e->routes || !e->roster.current_at) {
+	if (!e->routes || !e->roster.confirmed_at) {
 		refuse(caller, 503);
 		return;
 	}
@@ -233,7 +233,7 @@
 	entry_paused(e, now);
 	if (e->routes && e->routes->organisations && now < e->settles_at)
 		return true;
-	if (!e->routes || !e->roster.current_at || !entry_vouches(e))
+	if (!e->routes || !e->roster.confirmed_at || !entry_vouches(e))
 		return now - e->started_at < HELD_AT_START ||
 		       now < e->hold_until;
 	return now < e->hold_until && entry_view_age(e) > HELD_AGE;
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -17,8 +17,8 @@
 /* How long the request's work usually takes. */
 apr_time_t exchange_usual(const struct exchange *x)
 {
-	return tr_service_stats_usual(&x->e->roster.services[x->service],
-				      x->route->latency_aim);
+	return tr_service_stats_mean_time(&x->e->roster.services[x->service],
+					  x->route->latency_aim);
 }
 
 /* The part of the fleet that is heard, by which limits of targets are kept. */
--- a/entry/idle.c
+++ b/entry/idle.c
@@ -64,8 +64,8 @@
 	const struct tr_service_stats *svc = &e->roster.services[service];
 
 	return (struct tr_floor_load){
-		.outcomes = tr_service_stats_ended(svc, now),
-		.failing = tr_service_stats_failing(svc),
+		.outcomes = tr_service_stats_recent_outcomes(svc, now),
+		.failing = tr_service_stats_failure_ratio(svc),
 		.rate = tr_allowance_rate(entry_allowance(e, service),
 					  &e->repeat_bound, now),
 	};
@@ -96,7 +96,7 @@
 		 ms_ago(row->used_at, now), ms_ago(row->failed_at, now),
 		 ms_ago(row->known_since, now), row->in_flight,
 		 row->others_in_flight, row->full_until > now,
-		 row->unreachable_until > now, row->rests_until > now,
+		 row->unreachable_until > now, row->backoff_until > now,
 		 tr_roster_limit(&e->roster, row) != NULL,
 		 standing_words[tr_floor_target_state(&check, row, now)]);
 }
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -170,18 +170,18 @@
 	struct tr_roster *roster = &mesh->e->roster;
 	const struct tr_membership *m = &mesh->e->members;
 
-	if (!roster->homes_due && mesh->homes_of == m->generation)
+	if (!roster->homes_stale && mesh->homes_of == m->generation)
 		return;
-	roster->homes_due = false;
+	roster->homes_stale = false;
 	mesh->homes_of = m->generation;
 	for (unsigned i = 0; i < roster->count; i++) {
 		struct tr_instance *row = &roster->rows[i];
 
-		if (!row->used || row->home_of == m->generation)
+		if (!row->used || row->home_generation == m->generation)
 			continue;
 		row->home = tr_groups_home(m, row->data_centre, row->hash);
 		row->away = row->home != m->nodes[0].group;
-		row->home_of = m->generation;
+		row->home_generation = m->generation;
 	}
 }
 
--- a/entry/mesh_away.c
+++ b/entry/mesh_away.c
@@ -242,7 +242,7 @@
 			tr_roster_by_hash(&mesh->e->roster, s->target);
 
 		if (row && row->away)
-			tr_roster_reported(
+			tr_roster_apply_report(
 				row, (s->risk_and_in_flight >> 16) / 1000.0,
 				s->risk_and_in_flight & UINT16_MAX, now);
 	}
--- a/entry/mesh_changes.c
+++ b/entry/mesh_changes.c
@@ -14,7 +14,7 @@
 	unsigned n = msg->records.records_len++;
 	struct tr_target_record *t = &lists->typed[n];
 
-	tr_roster_record(&mesh->e->roster, row, t, now);
+	tr_roster_export_record(&mesh->e->roster, row, t, now);
 	lists->records[n] = (struct mesh_record){
 		.id = t->id,
 		.service = t->service,
@@ -111,7 +111,7 @@
 
 	if (!row || row->superseded)
 		return;
-	tr_roster_record(&e->roster, row, &r, entry_now(e));
+	tr_roster_export_record(&e->roster, row, &r, entry_now(e));
 	r.leaving = in->flags & RECORD_LEAVING;
 	r.gone = in->flags & RECORD_GONE;
 	r.revision = in->revision;
--- a/entry/mesh_notices.c
+++ b/entry/mesh_notices.c
@@ -97,7 +97,7 @@
 
 	if (!row || !row->used)
 		return;
-	place = tr_roster_limit_place(roster, row);
+	place = tr_roster_limit_index(roster, row);
 	if (in->rate == MESH_NO_LIMIT)
 		notices_log_limit(
 			row, &roster->limits.rows[place],
@@ -129,7 +129,7 @@
 	if (most > MESH_MAX_LEAVING)
 		most = MESH_MAX_LEAVING;
 	msg->leaving.leaving_val = leaving;
-	for (unsigned i = 0; roster->saying_leaving && i < roster->count &&
+	for (unsigned i = 0; roster->says_leaving_count && i < roster->count &&
 			     msg->leaving.leaving_len < most;
 	     i++) {
 		const struct tr_instance *row =
--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -34,9 +34,9 @@
 	     i < roster->count && msg->rows.rows_len < ENDS_AGAIN; i++) {
 		struct tr_instance *row = &roster->rows[i];
 
-		if (!row->used || !row->tell_again)
+		if (!row->used || !row->report_again)
 			continue;
-		row->tell_again = false;
+		row->report_again = false;
 		if (!row->dirty)
 			mesh_fill_row(&rows[msg->rows.rows_len++], row);
 	}
@@ -53,7 +53,7 @@
 			continue;
 		mesh_fill_row(&rows[msg->rows.rows_len++], row);
 		row->dirty = false;
-		row->tell_again = !row->in_flight;
+		row->report_again = !row->in_flight;
 	}
 }
 
@@ -241,7 +241,7 @@
 		old = !is_news(node, &totals, now);
 	}
 	if (!old && hang_ended(reported, in, &totals))
-		tr_roster_hang_ended(row, now);
+		tr_roster_end_hang(row, now);
 	row->others_in_flight += in->in_flight - reported->in_flight;
 	if (old ? in->in_flight > reported->in_flight
 		: has_begun(reported, in, &totals))
@@ -253,7 +253,8 @@
 
 		if (!news || old)
 			continue;
-		tr_roster_outcome(roster, row, (enum tr_symptom)s, news, now);
+		tr_roster_add_outcome(roster, row, (enum tr_symptom)s, news,
+				      now);
 	}
 	reported->totals = totals;
 }
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -56,7 +56,7 @@
 	uint32_t place;
 
 	if (notice->limit_is == TR_NOTICE_GIVEN) {
-		place = tr_roster_limit_place(&e->roster, row);
+		place = tr_roster_limit_index(&e->roster, row);
 		change = tr_send_limit_named(limits, place, notice->limit, now,
 					     now);
 	} else if (row->limit != TR_NO_ROW && status < 300) {
@@ -77,7 +77,7 @@
 bool notices_take_leaving(struct entry *e, struct tr_instance *row,
 			  const char *from)
 {
-	if (!tr_roster_says_leaving(&e->roster, row))
+	if (!tr_roster_mark_leaving(&e->roster, row))
 		return false;
 	eventlog(EVENT_BELIEF, "target-leaving", "id=%s from=%s", row->id,
 		 from);
@@ -92,11 +92,11 @@
 {
 	if (rest > REST_MOST)
 		rest = REST_MOST;
-	if (row->rests_until <= now)
+	if (row->backoff_until <= now)
 		eventlog(EVENT_BELIEF, "target-rests", "id=%s rest_ms=%ld",
 			 row->id, (long)(rest / 1000));
-	if (row->rests_until < now + rest)
-		row->rests_until = now + rest;
+	if (row->backoff_until < now + rest)
+		row->backoff_until = now + rest;
 }
 
 /*
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -128,7 +128,7 @@
 		tr_roster_apply(&e->roster, &records[i], now);
 	}
 	tr_roster_drop_unlisted(&e->roster, records, (unsigned)n, as_of, now);
-	tr_roster_vouched(&e->roster, as_of, age, now);
+	tr_roster_confirm_from_peer(&e->roster, as_of, age, now);
 	eventlog(EVENT_BELIEF, "list",
 		 "targets=%zu as_of=%" PRIu64 " age_ms=%ld from=peer", n, as_of,
 		 (long)(age / 1000));
@@ -236,7 +236,7 @@
 
 		if (!row->used || row->gone || row->lapsed_at)
 			continue;
-		tr_roster_record(&e->roster, row, &r, now);
+		tr_roster_export_record(&e->roster, row, &r, now);
 		json_array_append_new(
 			rows,
 			json_pack("[s,s,s,s,I,b,b,I,I,I]", r.id, r.service,
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -114,7 +114,7 @@
 	r->retry = 0;
 	r->next_at = now + PACE;
 	/* The store's answer was true at some time after it was asked. */
-	tr_roster_current(&e->roster, as_of, now - r->asked_at, now);
+	tr_roster_confirm(&e->roster, as_of, now - r->asked_at, now);
 	mesh_tell_list(e->mesh);
 }
 
@@ -258,7 +258,7 @@
 	const struct entry *e = r->e;
 	apr_time_t old = OLD;
 
-	if (!e->roster.current_at || !e->routes)
+	if (!e->roster.confirmed_at || !e->routes)
 		return wanted_at_start(r, now);
 	if (tr_membership_reads(&e->members, now))
 		return true;
@@ -287,7 +287,7 @@
 	if (r->fetch.busy || now < r->next_at || e->leaving)
 		return;
 	if (!wanted(r, now)) {
-		if (e->roster.current_at && e->routes)
+		if (e->roster.confirmed_at && e->routes)
 			r->next_at = now + LOOK_EVERY;
 		return;
 	}
--- a/entry/times.c
+++ b/entry/times.c
@@ -59,13 +59,13 @@
 		"service=\"%s\",kind=\"%s\",outcome=\"%s\",cause=\"%s\"",
 		e->roster.services[row->service].name, kind_words[row->kind],
 		outcome_word(row), row->why);
-	uint64_t all = tr_histogram_upto(&row->took, TR_HISTOGRAM_BOUNDS);
+	uint64_t all = tr_histogram_cumulative(&row->took, TR_HISTOGRAM_BOUNDS);
 
 	for (unsigned i = 0; i < TR_HISTOGRAM_BOUNDS; i++)
 		g_string_append_printf(
 			text, NAME "_bucket{%s,le=\"%g\"} %" PRIu64 "\n",
 			labels, tr_histogram_bound(i),
-			tr_histogram_upto(&row->took, i));
+			tr_histogram_cumulative(&row->took, i));
 	g_string_append_printf(
 		text,
 		NAME "_bucket{%s,le=\"+Inf\"} %" PRIu64 "\n" NAME
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -177,7 +177,7 @@
 	reader_step(e->reader);
 	mesh_step(e->mesh);
 	look_at_proof(e);
-	if (!e->ready && e->routes && e->roster.current_at) {
+	if (!e->ready && e->routes && e->roster.confirmed_at) {
 		e->ready = true;
 		eventlog(EVENT_LIFE, "ready", "version=%" PRIu64,
 			 e->routes->version);
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -60,11 +60,11 @@
 		       tr_gray_probability(&row->gray, now) < KNOWN_GRAY;
 
 	row->own.count[symptom]++;
-	tr_roster_changed(&u->e->roster, row);
-	tr_roster_outcome(&u->e->roster, row, symptom, 1, now);
+	tr_roster_mark_dirty(&u->e->roster, row);
+	tr_roster_add_outcome(&u->e->roster, row, symptom, 1, now);
 	if (symptom == TR_SYMPTOM_FAILED || symptom == TR_SYMPTOM_OVERDUE)
-		tr_service_stats_failed(&u->e->roster.services[row->service],
-					now - u->sent_at);
+		tr_service_stats_add_failure(
+			&u->e->roster.services[row->service], now - u->sent_at);
 	if (is_news)
 		mesh_tell_now(u->e->mesh);
 	else
@@ -82,8 +82,8 @@
 
 	say(u, row, tr_gray_answer_symptom(u->stage));
 	if (row->cold_until < now)
-		tr_service_stats_took(&roster->services[row->service],
-				      took < most ? took : most, calm);
+		tr_service_stats_add_answer(&roster->services[row->service],
+					    took < most ? took : most, calm);
 }
 
 /*
@@ -130,7 +130,7 @@
 		if (u->stage != TR_STAGE_OVERDUE)
 			say(u, row, TR_SYMPTOM_FAILED);
 		else
-			tr_roster_hang_ended(row, entry_now(u->e));
+			tr_roster_end_hang(row, entry_now(u->e));
 		break;
 	case UPSTREAM_ABANDONED:
 		break;
@@ -155,7 +155,7 @@
 	row = row_of(u);
 	if (!row)
 		return;
-	tr_roster_changed(&u->e->roster, row);
+	tr_roster_mark_dirty(&u->e->roster, row);
 	mesh_tell_soon(u->e->mesh);
 	say_ended(u, row, how);
 }
@@ -476,7 +476,7 @@
 	row->in_flight++;
 	count_sent(u, row);
 	row->used_at = u->began;
-	tr_roster_changed(&u->e->roster, row);
+	tr_roster_mark_dirty(&u->e->roster, row);
 	mesh_tell_soon(e->mesh);
 	u->active = true;
 	if (take_kept(u) || !connect_to(u, &calls))
--- a/lib/floor.c
+++ b/lib/floor.c
@@ -121,7 +121,7 @@
 	if (now - row->known_since < NEW_FOR)
 		return TR_FLOOR_NEW;
 	if (tr_instance_in_flight(row, now) && now - row->used_at < HANGS_FOR &&
-	    !tr_instance_hang_is_old(row))
+	    !tr_instance_answered_since_hang(row))
 		return TR_FLOOR_IN_FLIGHT;
 	return TR_FLOOR_IDLE;
 }
--- a/lib/histogram.c
+++ b/lib/histogram.c
@@ -32,7 +32,7 @@
 
 /* How many are in the bucket or in one before it; of TR_HISTOGRAM_BOUNDS: how
  * many there are. */
-uint64_t tr_histogram_upto(const struct tr_histogram *h, unsigned bucket)
+uint64_t tr_histogram_cumulative(const struct tr_histogram *h, unsigned bucket)
 {
 	uint64_t n = 0;
 
--- a/lib/histogram.h
+++ b/lib/histogram.h
@@ -15,6 +15,6 @@
 
 void tr_histogram_add(struct tr_histogram *h, apr_time_t took);
 double tr_histogram_bound(unsigned bucket);
-uint64_t tr_histogram_upto(const struct tr_histogram *h, unsigned bucket);
+uint64_t tr_histogram_cumulative(const struct tr_histogram *h, unsigned bucket);
 
 #endif
--- a/lib/list_check.c
+++ b/lib/list_check.c
@@ -40,14 +40,15 @@
 	if (!reported->as_of)
 		return false;
 	if (reported->digest == tr_roster_digest(roster)) {
-		tr_roster_vouched(roster, reported->as_of, reported->age, now);
+		tr_roster_confirm_from_peer(roster, reported->as_of,
+					    reported->age, now);
 		if (reported->as_of >= c->as_of)
 			c->since = 0;
 		return false;
 	}
 	if (!roster->as_of || reported->as_of < roster->as_of ||
 	    (reported->as_of == roster->as_of &&
-	     now - reported->age <= roster->current_at))
+	     now - reported->age <= roster->confirmed_at))
 		return false;
 	differs(c, reported->as_of, random, now);
 	return now - c->since > DIFFERS_FOR;
--- a/lib/place.c
+++ b/lib/place.c
@@ -215,8 +215,8 @@
 	const struct tr_service_stats *svc = &roster->services[req->service];
 
 	return (struct tr_floor_load){
-		.outcomes = tr_service_stats_ended(svc, now),
-		.failing = tr_service_stats_failing(svc),
+		.outcomes = tr_service_stats_recent_outcomes(svc, now),
+		.failing = tr_service_stats_failure_ratio(svc),
 		.rate = req->wanted,
 	};
 }
@@ -333,8 +333,8 @@
 	const struct tr_send_limit *l = tr_roster_limit(roster, row);
 
 	if (!tr_instance_usable(row, now)) {
-		if (row->rests_until < room->rested_at)
-			room->rested_at = row->rests_until;
+		if (row->backoff_until < room->rested_at)
+			room->rested_at = row->backoff_until;
 	} else if (l) {
 		room->limits += tr_send_limit_rate(l, req->heard);
 	} else {
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -148,8 +148,8 @@
 	row->slots = record->slots ? record->slots : 1;
 	memcpy(row->address, record->address, sizeof(row->address));
 	if (strcmp(row->data_centre, record->data_centre) != 0) {
-		row->home_of = 0;
-		roster->homes_due = true;
+		row->home_generation = 0;
+		roster->homes_stale = true;
 	}
 	memcpy(row->data_centre, record->data_centre, sizeof(row->data_centre));
 	if (record->leaving && !row->leaving)
@@ -179,7 +179,7 @@
 	roster->digest_known = false;
 	row = new_row(roster);
 	row->used = true;
-	roster->homes_due = true;
+	roster->homes_stale = true;
 	row->known_since = now;
 	row->limit = TR_NO_ROW;
 	memcpy(row->id, record->id, sizeof(row->id));
@@ -229,8 +229,8 @@
  * An entry that names no target, since another writer's value stands there or
  * one that can't be read: what was known under the id is no longer listed.
  */
-void tr_roster_refuse(struct tr_roster *roster, const char *id,
-		      uint64_t revision, apr_time_t now)
+void tr_roster_reject_entry(struct tr_roster *roster, const char *id,
+			    uint64_t revision, apr_time_t now)
 {
 	struct tr_instance *row = find(roster, id);
 
@@ -284,7 +284,8 @@
 	if (record->gone || record->born == row->born)
 		return update(roster, row, record, now);
 	if (!record->born) {
-		tr_roster_refuse(roster, record->id, record->revision, now);
+		tr_roster_reject_entry(roster, record->id, record->revision,
+				       now);
 		return true;
 	}
 	if (record->born < row->born)
@@ -317,7 +318,7 @@
 }
 
 /* The list was whole and current, as of a revision, so long ago. */
-void tr_roster_current(struct tr_roster *roster, uint64_t as_of, apr_time_t age,
+void tr_roster_confirm(struct tr_roster *roster, uint64_t as_of, apr_time_t age,
 		       apr_time_t now)
 {
 	apr_time_t at = now - age;
@@ -327,11 +328,11 @@
 	 * and tells the others of a revision that they have. */
 	if (as_of > roster->as_of)
 		roster->as_of = as_of;
-	if (at <= roster->current_at)
+	if (at <= roster->confirmed_at)
 		return;
-	if (roster->current_at && at - roster->current_at > INTERRUPTED)
+	if (roster->confirmed_at && at - roster->confirmed_at > INTERRUPTED)
 		roster->returned_at = now;
-	roster->current_at = at;
+	roster->confirmed_at = at;
 }
 
 /*
@@ -342,10 +343,10 @@
  * seconds was held to be 45 ms old, so that nobody stepped in for the readers,
  * and targets that had left went on getting requests.
  */
-void tr_roster_vouched(struct tr_roster *roster, uint64_t as_of,
-		       apr_time_t reported_age, apr_time_t now)
+void tr_roster_confirm_from_peer(struct tr_roster *roster, uint64_t as_of,
+				 apr_time_t reported_age, apr_time_t now)
 {
-	tr_roster_current(roster, as_of, reported_age + HOP_MOST, now);
+	tr_roster_confirm(roster, as_of, reported_age + HOP_MOST, now);
 }
 
 /* The mean chance of being gray over the service's targets, or a negative
@@ -384,8 +385,9 @@
 		double share = mean_chance(roster, s, now);
 
 		if (share >= 0)
-			tr_service_stats_gray(&roster->services[s], share,
-					      (double)passed / 1e6);
+			tr_service_stats_learn_gray_share(&roster->services[s],
+							  share,
+							  (double)passed / 1e6);
 	}
 	for (unsigned i = 0; i < roster->count; i++) {
 		struct tr_instance *row = &roster->rows[i];
@@ -406,7 +408,7 @@
 	tr_index_remove(&roster->by_hash, row->hash, i);
 	if (row->limit != TR_NO_ROW)
 		tr_send_limits_drop(&roster->limits, row->limit);
-	roster->saying_leaving -= row->says_leaving;
+	roster->says_leaving_count -= row->says_leaving;
 	row->used = false;
 }
 
@@ -485,9 +487,9 @@
 }
 
 /* What this VM would tell another of the target. */
-void tr_roster_record(const struct tr_roster *roster,
-		      const struct tr_instance *row,
-		      struct tr_target_record *record, apr_time_t now)
+void tr_roster_export_record(const struct tr_roster *roster,
+			     const struct tr_instance *row,
+			     struct tr_target_record *record, apr_time_t now)
 {
 	memset(record, 0, sizeof(*record));
 	memcpy(record->id, row->id, sizeof(record->id));
@@ -518,7 +520,7 @@
 }
 
 /* The place of the target's row among the limits, made when it has none. */
-uint32_t tr_roster_limit_place(struct tr_roster *roster,
+uint32_t tr_roster_limit_index(struct tr_roster *roster,
 			       struct tr_instance *row)
 {
 	if (row->limit == TR_NO_ROW)
@@ -527,12 +529,12 @@
 }
 
 /* The target has said in an answer that it leaves; true when that is news. */
-bool tr_roster_says_leaving(struct tr_roster *roster, struct tr_instance *row)
+bool tr_roster_mark_leaving(struct tr_roster *roster, struct tr_instance *row)
 {
 	if (row->says_leaving)
 		return false;
 	row->says_leaving = true;
-	roster->saying_leaving++;
+	roster->says_leaving_count++;
 	return true;
 }
 
@@ -546,7 +548,7 @@
 /* May the target be given new work? */
 bool tr_instance_usable(const struct tr_instance *row, apr_time_t now)
 {
-	return tr_instance_serves(row, now) && row->rests_until <= now;
+	return tr_instance_serves(row, now) && row->backoff_until <= now;
 }
 
 /*
@@ -565,7 +567,7 @@
 }
 
 /* This VM has something new to tell of the target. */
-void tr_roster_changed(struct tr_roster *roster, struct tr_instance *row)
+void tr_roster_mark_dirty(struct tr_roster *roster, struct tr_instance *row)
 {
 	row->dirty = true;
 	row->dirty_away = row->away;
@@ -573,8 +575,8 @@
 }
 
 /* The target's own group told what it knows of it. */
-void tr_roster_reported(struct tr_instance *row, double risk,
-			unsigned in_flight, apr_time_t now)
+void tr_roster_apply_report(struct tr_instance *row, double risk,
+			    unsigned in_flight, apr_time_t now)
 {
 	row->reported_in_flight =
 		(uint16_t)(in_flight < UINT16_MAX ? in_flight : UINT16_MAX);
@@ -587,7 +589,7 @@
  * after the last that hangs? What is still in flight then says nothing of how
  * the target is now.
  */
-bool tr_instance_hang_is_old(const struct tr_instance *row)
+bool tr_instance_answered_since_hang(const struct tr_instance *row)
 {
 	return row->answered_at >= row->used_at &&
 	       row->answered_sent_at > row->hung_at;
@@ -603,16 +605,17 @@
  * Take in an outcome at a target, of whichever VM. A request that is overdue
  * failed when it was sent, as far as that can be known.
  */
-void tr_roster_outcome(struct tr_roster *roster, struct tr_instance *row,
-		       enum tr_symptom symptom, unsigned times, apr_time_t now)
+void tr_roster_add_outcome(struct tr_roster *roster, struct tr_instance *row,
+			   enum tr_symptom symptom, unsigned times,
+			   apr_time_t now)
 {
 	const struct tr_worktime *takes = &roster->services[row->service].takes;
 	apr_time_t usual = tr_worktime_mean(takes, 0);
 	apr_time_t sent_at;
 
 	tr_gray_add(&row->gray, symptom, times, now);
-	tr_service_stats_outcomes(&roster->services[row->service], symptom,
-				  times, now);
+	tr_service_stats_add_outcomes(&roster->services[row->service], symptom,
+				      times, now);
 	if (symptom == TR_SYMPTOM_OVERDUE) {
 		sent_at = now - tr_gray_stage_start(TR_STAGE_OVERDUE, usual,
 						    tr_worktime_spread(takes));
@@ -629,8 +632,8 @@
 }
 
 /* A request that was overdue at the target has ended without an answer. */
-void tr_roster_hang_ended(struct tr_instance *row, apr_time_t now)
+void tr_roster_end_hang(struct tr_instance *row, apr_time_t now)
 {
-	if (!tr_instance_hang_is_old(row))
+	if (!tr_instance_answered_since_hang(row))
 		row->failed_at = now;
 }
--- a/lib/service_stats.c
+++ b/lib/service_stats.c
@@ -44,9 +44,9 @@
 }
 
 /* So many requests of the service have come to that, at whichever VM. */
-void tr_service_stats_outcomes(struct tr_service_stats *s,
-			       enum tr_symptom symptom, unsigned times,
-			       apr_time_t now)
+void tr_service_stats_add_outcomes(struct tr_service_stats *s,
+				   enum tr_symptom symptom, unsigned times,
+				   apr_time_t now)
 {
 	double keep = lately_kept(s, now);
 
@@ -60,13 +60,14 @@
 }
 
 /* How many of the service's requests came to an end lately. */
-double tr_service_stats_ended(const struct tr_service_stats *s, apr_time_t now)
+double tr_service_stats_recent_outcomes(const struct tr_service_stats *s,
+					apr_time_t now)
 {
 	return (s->lately_bad + s->lately_good) * lately_kept(s, now);
 }
 
 /* Which part of them failed. */
-double tr_service_stats_failing(const struct tr_service_stats *s)
+double tr_service_stats_failure_ratio(const struct tr_service_stats *s)
 {
 	double all = s->lately_bad + s->lately_good;
 
@@ -75,17 +76,17 @@
 
 /* An answer of the service took so long; undisturbed: by no other work, at a
  * target that is probably well. */
-void tr_service_stats_took(struct tr_service_stats *s, apr_time_t took,
-			   bool undisturbed)
+void tr_service_stats_add_answer(struct tr_service_stats *s, apr_time_t took,
+				 bool undisturbed)
 {
-	tr_worktime_took(&s->takes, took);
+	tr_worktime_add(&s->takes, took);
 	if (undisturbed)
-		tr_worktime_undisturbed(&s->takes, took);
+		tr_worktime_add_uncontended(&s->takes, took);
 }
 
 /* How long work of the service usually takes, in us. */
-apr_time_t tr_service_stats_usual(const struct tr_service_stats *s,
-				  apr_time_t latency_aim)
+apr_time_t tr_service_stats_mean_time(const struct tr_service_stats *s,
+				      apr_time_t latency_aim)
 {
 	return tr_worktime_mean(&s->takes, latency_aim / FIRST_GUESS);
 }
@@ -99,7 +100,7 @@
 }
 
 /* An attempt has turned out to have failed, so long after it was sent. */
-void tr_service_stats_failed(struct tr_service_stats *s, apr_time_t age)
+void tr_service_stats_add_failure(struct tr_service_stats *s, apr_time_t age)
 {
 	if (s->fail_age_us <= 0)
 		s->fail_age_us = (double)age;
@@ -109,8 +110,8 @@
 /* How old attempts are when they turn out to have failed, in us: some
  * milliseconds where targets answer with errors, longer than work usually
  * takes where they hang. */
-apr_time_t tr_service_stats_fail_age(const struct tr_service_stats *s,
-				     apr_time_t latency_aim)
+apr_time_t tr_service_stats_failure_age(const struct tr_service_stats *s,
+					apr_time_t latency_aim)
 {
 	if (s->fail_age_us <= 0)
 		return latency_aim / FIRST_FAIL_AGE;
@@ -124,8 +125,8 @@
  * rest a queue that is kept at the aim would be let grow again at each moment
  * at which it is a little shorter.
  */
-void tr_service_stats_expect(struct tr_service_stats *s, apr_time_t takes,
-			     apr_time_t latency_aim, apr_time_t now)
+void tr_service_stats_track_queue(struct tr_service_stats *s, apr_time_t takes,
+				  apr_time_t latency_aim, apr_time_t now)
 {
 	apr_time_t passed = now - s->expected_at;
 	apr_time_t most = BURST_AIMS * latency_aim;
@@ -146,8 +147,8 @@
 
 /* The mean chance of its targets of being gray is this now, and was looked at
  * so many seconds ago before. */
-void tr_service_stats_gray(struct tr_service_stats *s, double share,
-			   double passed_s)
+void tr_service_stats_learn_gray_share(struct tr_service_stats *s, double share,
+				       double passed_s)
 {
 	if (!tr_mechanism_on(TR_MECH_LEARNED_SHARE))
 		return;
--- a/lib/service_stats.h
+++ b/lib/service_stats.h
@@ -29,22 +29,23 @@
 };
 
 void tr_service_stats_init(struct tr_service_stats *s, const char *name);
-void tr_service_stats_outcomes(struct tr_service_stats *s,
-			       enum tr_symptom symptom, unsigned times,
-			       apr_time_t now);
-double tr_service_stats_ended(const struct tr_service_stats *s, apr_time_t now);
-double tr_service_stats_failing(const struct tr_service_stats *s);
-void tr_service_stats_took(struct tr_service_stats *s, apr_time_t took,
-			   bool undisturbed);
-apr_time_t tr_service_stats_usual(const struct tr_service_stats *s,
-				  apr_time_t latency_aim);
+void tr_service_stats_add_outcomes(struct tr_service_stats *s,
+				   enum tr_symptom symptom, unsigned times,
+				   apr_time_t now);
+double tr_service_stats_recent_outcomes(const struct tr_service_stats *s,
+					apr_time_t now);
+double tr_service_stats_failure_ratio(const struct tr_service_stats *s);
+void tr_service_stats_add_answer(struct tr_service_stats *s, apr_time_t took,
+				 bool undisturbed);
+apr_time_t tr_service_stats_mean_time(const struct tr_service_stats *s,
+				      apr_time_t latency_aim);
 double tr_service_stats_spread(const struct tr_service_stats *s);
-void tr_service_stats_failed(struct tr_service_stats *s, apr_time_t age);
-apr_time_t tr_service_stats_fail_age(const struct tr_service_stats *s,
-				     apr_time_t latency_aim);
-void tr_service_stats_expect(struct tr_service_stats *s, apr_time_t takes,
-			     apr_time_t latency_aim, apr_time_t now);
-void tr_service_stats_gray(struct tr_service_stats *s, double share,
-			   double passed_s);
+void tr_service_stats_add_failure(struct tr_service_stats *s, apr_time_t age);
+apr_time_t tr_service_stats_failure_age(const struct tr_service_stats *s,
+					apr_time_t latency_aim);
+void tr_service_stats_track_queue(struct tr_service_stats *s, apr_time_t takes,
+				  apr_time_t latency_aim, apr_time_t now);
+void tr_service_stats_learn_gray_share(struct tr_service_stats *s, double share,
+				       double passed_s);
 
 #endif
--- a/lib/worktime.c
+++ b/lib/worktime.c
@@ -16,7 +16,7 @@
 #define LEAST_SPREAD 0.15
 
 /* An answer took so long in all, in us. */
-void tr_worktime_took(struct tr_worktime *w, apr_time_t took)
+void tr_worktime_add(struct tr_worktime *w, apr_time_t took)
 {
 	if (w->weight < SPAN)
 		w->weight += 1;
@@ -24,7 +24,7 @@
 }
 
 /* One that found a slot free, at a target that is probably well. */
-void tr_worktime_undisturbed(struct tr_worktime *w, apr_time_t took)
+void tr_worktime_add_uncontended(struct tr_worktime *w, apr_time_t took)
 {
 	double us = took > 1000 ? (double)took : 1000;
 	double off = log(us) - w->log_mean;
--- a/lib/worktime.h
+++ b/lib/worktime.h
@@ -15,8 +15,8 @@
 	double log_weight;
 };
 
-void tr_worktime_took(struct tr_worktime *w, apr_time_t took);
-void tr_worktime_undisturbed(struct tr_worktime *w, apr_time_t took);
+void tr_worktime_add(struct tr_worktime *w, apr_time_t took);
+void tr_worktime_add_uncontended(struct tr_worktime *w, apr_time_t took);
 apr_time_t tr_worktime_mean(const struct tr_worktime *w, apr_time_t guess);
 double tr_worktime_spread(const struct tr_worktime *w);
 
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -164,8 +164,8 @@
 		}
 		tr_roster_service(&vm.e.roster, "svc");
 		for (int i = 0; i < 40; i++)
-			tr_service_stats_took(&vm.e.roster.services[0], takes(),
-					      true);
+			tr_service_stats_add_answer(&vm.e.roster.services[0],
+						    takes(), true);
 		for (unsigned i = 0; i < plan.targets; i++) {
 			tr_target_record r{};
 
@@ -248,11 +248,11 @@
 			      tr_gray_probability(&row->gray, now) < 0.5;
 		vm.soon = true;
 		row->own.count[symptom]++;
-		tr_roster_changed(roster, row);
-		tr_roster_outcome(roster, row, symptom, 1, now);
+		tr_roster_mark_dirty(roster, row);
+		tr_roster_add_outcome(roster, row, symptom, 1, now);
 		if (symptom == TR_SYMPTOM_FAILED ||
 		    symptom == TR_SYMPTOM_OVERDUE)
-			tr_service_stats_failed(&roster->services[0], age);
+			tr_service_stats_add_failure(&roster->services[0], age);
 	}
 
 	void send(unsigned v, const std::vector<uint32_t> &tried)
@@ -263,9 +263,9 @@
 		tr_placing p;
 		tr_place_request req{};
 
-		req.usual = tr_service_stats_usual(svc, AIM);
+		req.usual = tr_service_stats_mean_time(svc, AIM);
 		req.spread = tr_service_stats_spread(svc);
-		req.fail_age = tr_service_stats_fail_age(svc, AIM);
+		req.fail_age = tr_service_stats_failure_age(svc, AIM);
 		req.standing_queue = svc->standing_queue;
 		req.aim_left = AIM;
 		req.time_left = plan.hangs_for;
@@ -280,7 +280,7 @@
 			lost++;
 			return;
 		}
-		tr_service_stats_expect(svc, p.least_takes, AIM, now);
+		tr_service_stats_track_queue(svc, p.least_takes, AIM, now);
 		begin(v, p, tried);
 	}
 
@@ -308,7 +308,7 @@
 					      : takes());
 		row->in_flight++;
 		row->used_at = now;
-		tr_roster_changed(&vm.e.roster, row);
+		tr_roster_mark_dirty(&vm.e.roster, row);
 		vm.soon = true;
 		if (r.reached)
 			arrive(t, r);
@@ -338,7 +338,7 @@
 
 			if (now - r.sent_at <
 			    tr_gray_stage_start(
-				    next, tr_service_stats_usual(svc, AIM),
+				    next, tr_service_stats_mean_time(svc, AIM),
 				    tr_service_stats_spread(svc)))
 				return;
 			r.stage = next;
@@ -355,7 +355,7 @@
 		apr_time_t age = now - r.sent_at;
 
 		row->in_flight--;
-		tr_roster_changed(&vm.e.roster, row);
+		tr_roster_mark_dirty(&vm.e.roster, row);
 		vm.soon = true;
 		if (!r.reached) {
 			row->unreachable_until = now + UNREACHABLE_FOR;
@@ -368,13 +368,13 @@
 		if (r.hangs && r.sent_at == t.newest_at)
 			t.newest_hung_until = now;
 		if (r.hangs && r.stage == TR_STAGE_OVERDUE) {
-			tr_roster_hang_ended(row, now);
+			tr_roster_end_hang(row, now);
 		} else if (r.hangs) {
 			say(vm, r.row, TR_SYMPTOM_FAILED, age);
 		} else {
 			t.newest_answered |= r.sent_at == t.newest_at;
-			tr_service_stats_took(&vm.e.roster.services[0], age,
-					      true);
+			tr_service_stats_add_answer(&vm.e.roster.services[0],
+						    age, true);
 			say(vm, r.row, tr_gray_answer_symptom(r.stage), age);
 		}
 	}
@@ -487,8 +487,8 @@
 	{
 		const tr_service_stats *svc = &vm.e.roster.services[0];
 		const tr_floor_load load = {
-			tr_service_stats_ended(svc, now),
-			tr_service_stats_failing(svc),
+			tr_service_stats_recent_outcomes(svc, now),
+			tr_service_stats_failure_ratio(svc),
 			plan.rate,
 		};
 		View view{ &vm.e.roster, {}, 0 };
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -151,7 +151,8 @@
 			lost++;
 			return;
 		}
-		tr_service_stats_expect(svc, p.least_takes, req.aim_left, now);
+		tr_service_stats_track_queue(svc, p.least_takes, req.aim_left,
+					     now);
 		tr_instance *row = &roster.rows[p.row];
 		Target &t = targets[p.row];
 		bool hangs = t.gray && tr_random_unit(&random) < 0.75;
@@ -175,17 +176,19 @@
 			if (r.hangs && !r.told &&
 			    now - r.sent_at >= TR_MSEC(700)) {
 				r.told = true;
-				tr_roster_outcome(&roster, row,
-						  TR_SYMPTOM_FAILED, 1, now);
+				tr_roster_add_outcome(&roster, row,
+						      TR_SYMPTOM_FAILED, 1,
+						      now);
 			}
 			if (now < r.ends_at)
 				continue;
 			row->in_flight--;
 			if (r.hangs && tells_ends)
-				tr_roster_hang_ended(row, now);
+				tr_roster_end_hang(row, now);
 			if (!r.hangs)
-				tr_roster_outcome(&roster, row,
-						  TR_SYMPTOM_ANSWERED, 1, now);
+				tr_roster_add_outcome(&roster, row,
+						      TR_SYMPTOM_ANSWERED, 1,
+						      now);
 		}
 		running.erase(std::remove_if(running.begin(), running.end(),
 					     [&](const Request &r) {
--- a/tests/floor_test.cc
+++ b/tests/floor_test.cc
@@ -369,8 +369,8 @@
 			tr_roster_apply(&roster, &r, now - TR_SEC(60));
 		}
 		for (int i = 0; i < 50; i++)
-			tr_service_stats_took(&roster.services[0],
-					      TR_MSEC(200 + 2 * i), true);
+			tr_service_stats_add_answer(&roster.services[0],
+						    TR_MSEC(200 + 2 * i), true);
 	}
 
 	void TearDown() override
@@ -403,13 +403,13 @@
 	{
 		if (tr_symptom_ends_request(symptom))
 			target()->in_flight--;
-		tr_roster_outcome(&roster, target(), symptom, 1, now);
+		tr_roster_add_outcome(&roster, target(), symptom, 1, now);
 	}
 
 	void end_hang()
 	{
 		target()->in_flight--;
-		tr_roster_hang_ended(target(), now);
+		tr_roster_end_hang(target(), now);
 	}
 
 	/* Would the target get the next request whatever is drawn? */
--- a/tests/histogram_test.cc
+++ b/tests/histogram_test.cc
@@ -16,10 +16,10 @@
 	tr_histogram_add(&h, TR_MSEC(1) + 1);
 	tr_histogram_add(&h, TR_MSEC(250));
 	tr_histogram_add(&h, TR_SEC(11));
-	EXPECT_EQ(tr_histogram_upto(&h, 0), 1u);
-	EXPECT_EQ(tr_histogram_upto(&h, 1), 2u);
-	EXPECT_EQ(tr_histogram_upto(&h, TR_HISTOGRAM_BOUNDS - 1), 3u);
-	EXPECT_EQ(tr_histogram_upto(&h, TR_HISTOGRAM_BOUNDS), 4u);
+	EXPECT_EQ(tr_histogram_cumulative(&h, 0), 1u);
+	EXPECT_EQ(tr_histogram_cumulative(&h, 1), 2u);
+	EXPECT_EQ(tr_histogram_cumulative(&h, TR_HISTOGRAM_BOUNDS - 1), 3u);
+	EXPECT_EQ(tr_histogram_cumulative(&h, TR_HISTOGRAM_BOUNDS), 4u);
 	EXPECT_NEAR(h.sum_s, 11.252, 0.001);
 }
 
--- a/tests/mesh_test.cc
+++ b/tests/mesh_test.cc
@@ -137,10 +137,10 @@
 
 	for (unsigned i = 0; i < 40; i++) {
 		tr_instance *row = &e.roster.rows[i];
-		uint32_t place = tr_roster_limit_place(&e.roster, row);
+		uint32_t place = tr_roster_limit_index(&e.roster, row);
 
 		tr_send_limit_named(&e.roster.limits, place, 1, now, now);
-		tr_roster_says_leaving(&e.roster, &e.roster.rows[100 + i]);
+		tr_roster_mark_leaving(&e.roster, &e.roster.rows[100 + i]);
 	}
 	for (int i = 0; i < 20; i++) {
 		mesh_notices lists{};
@@ -168,11 +168,11 @@
 
 	for (unsigned i = 0; i < 40; i++) {
 		tr_instance *row = &e.roster.rows[i];
-		uint32_t place = tr_roster_limit_place(&e.roster, row);
+		uint32_t place = tr_roster_limit_index(&e.roster, row);
 
 		tr_send_limit_named(&e.roster.limits, place, 1, now, now);
 		e.roster.limits.rows[place].changed = true;
-		tr_roster_says_leaving(&e.roster, row);
+		tr_roster_mark_leaving(&e.roster, row);
 	}
 	msg.data_centre = centre;
 	EXPECT_EQ(mesh_add_notices(&m, &msg, &lists, BYTES_NOTICES, now),
@@ -196,7 +196,8 @@
 		for (unsigned i = 0; i < e.roster.count; i++) {
 			tr_target_record r{};
 
-			tr_roster_record(&e.roster, &e.roster.rows[i], &r, now);
+			tr_roster_export_record(&e.roster, &e.roster.rows[i],
+						&r, now);
 			tr_roster_apply(&other.roster, &r, now - TR_SEC(60));
 		}
 		node.near = true;
@@ -224,7 +225,7 @@
 	void request(unsigned i, unsigned in_flight)
 	{
 		e.roster.rows[i].in_flight = in_flight;
-		tr_roster_changed(&e.roster, &e.roster.rows[i]);
+		tr_roster_mark_dirty(&e.roster, &e.roster.rows[i]);
 	}
 };
 
@@ -285,8 +286,9 @@
 	const tr_instance *row = &other.roster.rows[7];
 
 	for (int i = 0; i < 50; i++)
-		tr_service_stats_took(&other.roster.services[row->service],
-				      TR_MSEC(20), true);
+		tr_service_stats_add_answer(
+			&other.roster.services[row->service], TR_MSEC(20),
+			true);
 	request(7, 1);
 	say(false);
 	e.roster.rows[7].own.count[TR_SYMPTOM_OVERDUE]++;
@@ -296,7 +298,7 @@
 	e.roster.rows[7].own.count[TR_SYMPTOM_ANSWERED]++;
 	request(7, 1);
 	say(false);
-	EXPECT_TRUE(tr_instance_hang_is_old(row));
+	EXPECT_TRUE(tr_instance_answered_since_hang(row));
 	/* Nor is the end of the old one a new failure. */
 	now += TR_SEC(1);
 	apr_time_t failed_at = row->failed_at;
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -222,8 +222,8 @@
 	for (int i = 0; i < 800; i++) {
 		tr_placing p;
 
-		tr_service_stats_outcomes(&roster.services[req.service],
-					  TR_SYMPTOM_ANSWERED, 1, now);
+		tr_service_stats_add_outcomes(&roster.services[req.service],
+					      TR_SYMPTOM_ANSWERED, 1, now);
 		ASSERT_EQ(tr_place(&roster, &req, &random, now, &p),
 			  TR_PLACE_FOUND);
 		counts[p.row] += i >= 600;
@@ -253,8 +253,8 @@
 		tr_gray_add(&roster.rows[i].gray, TR_SYMPTOM_FAILED, 1,
 			    now - TR_SEC(4));
 	}
-	tr_service_stats_outcomes(&roster.services[0], TR_SYMPTOM_ANSWERED,
-				  1000, now);
+	tr_service_stats_add_outcomes(&roster.services[0], TR_SYMPTOM_ANSWERED,
+				      1000, now);
 	for (const auto &[row, n] : draw(20))
 		EXPECT_GE(row, 16u);
 }
@@ -270,7 +270,7 @@
 			add(("far" + std::to_string(i)).c_str(), "dc-2");
 
 		row->away = true;
-		tr_roster_reported(row, 0.05, i < 2 ? 6 : 0, now);
+		tr_roster_apply_report(row, 0.05, i < 2 ? 6 : 0, now);
 	}
 	for (const auto &[row, n] : draw(200))
 		EXPECT_LT(row, 4u);
@@ -313,7 +313,7 @@
 void set_limit(tr_roster *roster, uint32_t row, double rate, apr_time_t at)
 {
 	tr_send_limit_named(&roster->limits,
-			    tr_roster_limit_place(roster, &roster->rows[row]),
+			    tr_roster_limit_index(roster, &roster->rows[row]),
 			    rate, at, at);
 }
 
@@ -377,13 +377,13 @@
 		roster.rows[i].used_at = now - TR_SEC(9);
 	for (int i = 2; i < 5; i++) {
 		set_limit(&roster, (uint32_t)i, 0, now);
-		tr_roster_says_leaving(&roster, &roster.rows[i + 3]);
-		roster.rows[i + 6].rests_until = now + TR_SEC(60);
+		tr_roster_mark_leaving(&roster, &roster.rows[i + 3]);
+		roster.rows[i + 6].backoff_until = now + TR_SEC(60);
 	}
 	req.heard = 1;
 	for (int i = 0; i < 200; i++) {
-		tr_service_stats_outcomes(&roster.services[req.service],
-					  TR_SYMPTOM_ANSWERED, 1, now);
+		tr_service_stats_add_outcomes(&roster.services[req.service],
+					      TR_SYMPTOM_ANSWERED, 1, now);
 		ASSERT_EQ(tr_place(&roster, &req, &random, now, &p),
 			  TR_PLACE_FOUND);
 		counts[p.row]++;
@@ -413,9 +413,9 @@
 	tr_placing p;
 
 	add_many(2);
-	roster.rows[0].rests_until = now + TR_SEC(2);
+	roster.rows[0].backoff_until = now + TR_SEC(2);
 	EXPECT_EQ(draw(200)[0], 0);
-	roster.rows[1].rests_until = now + TR_SEC(3);
+	roster.rows[1].backoff_until = now + TR_SEC(3);
 	EXPECT_EQ(tr_place(&roster, &req, &random, now, &p), TR_PLACE_RESTING);
 	for (int i = 0; i < 20; i++) {
 		apr_time_t after =
@@ -555,7 +555,7 @@
 		tr_place_result res =
 			tr_place(&views[vm], &req, &random, now, &p);
 
-		tr_service_stats_expect(svc, p.least_takes, AIM, now);
+		tr_service_stats_track_queue(svc, p.least_takes, AIM, now);
 		if (res == TR_PLACE_FOUND)
 			send(vm, p.row, now);
 		else
--- a/tests/roster_test.cc
+++ b/tests/roster_test.cc
@@ -75,7 +75,7 @@
 TEST_F(Roster, ATargetIsGoneAtOnceInCalmTimes)
 {
 	apply("a", 5);
-	tr_roster_current(&roster, 5, 0, now);
+	tr_roster_confirm(&roster, 5, 0, now);
 	apply("a", 6, false, true);
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
 }
@@ -89,9 +89,9 @@
 TEST_F(Roster, AfterAnInterruptionMissingTargetsHaveTimeToRegister)
 {
 	apply("a", 5);
-	tr_roster_current(&roster, 5, 0, now);
+	tr_roster_confirm(&roster, 5, 0, now);
 	now += TR_SEC(8);
-	tr_roster_current(&roster, 9, 0, now);
+	tr_roster_confirm(&roster, 9, 0, now);
 	tr_roster_drop_unlisted(&roster, nullptr, 0, 9, now);
 	EXPECT_TRUE(tr_instance_usable(row("a"), now));
 	now += TR_MSEC(1000);
@@ -105,9 +105,9 @@
 TEST_F(Roster, ATargetThatRegistersAgainStays)
 {
 	apply("a", 5);
-	tr_roster_current(&roster, 5, 0, now);
+	tr_roster_confirm(&roster, 5, 0, now);
 	now += TR_SEC(8);
-	tr_roster_current(&roster, 9, 0, now);
+	tr_roster_confirm(&roster, 9, 0, now);
 	tr_roster_drop_unlisted(&roster, nullptr, 0, 9, now);
 	apply("a", 11);
 	now += TR_SEC(5);
@@ -119,9 +119,9 @@
 TEST_F(Roster, ALeavingTargetDoesNotLapse)
 {
 	apply("a", 5, true);
-	tr_roster_current(&roster, 5, 0, now);
+	tr_roster_confirm(&roster, 5, 0, now);
 	now += TR_SEC(8);
-	tr_roster_current(&roster, 9, 0, now);
+	tr_roster_confirm(&roster, 9, 0, now);
 	tr_roster_drop_unlisted(&roster, nullptr, 0, 9, now);
 	EXPECT_TRUE(row("a")->gone);
 }
@@ -136,20 +136,20 @@
 TEST_F(Roster, WhatATargetSaysOfItsEndOutlivesThePlatformsWord)
 {
 	apply("a", 1);
-	EXPECT_TRUE(tr_roster_says_leaving(&roster, row("a")));
-	EXPECT_FALSE(tr_roster_says_leaving(&roster, row("a")));
+	EXPECT_TRUE(tr_roster_mark_leaving(&roster, row("a")));
+	EXPECT_FALSE(tr_roster_mark_leaving(&roster, row("a")));
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
 	apply("a", 2);
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
 	/* And it does not wait to be registered again after an interruption. */
-	tr_roster_current(&roster, 2, 0, now);
+	tr_roster_confirm(&roster, 2, 0, now);
 	now += TR_SEC(9);
-	tr_roster_current(&roster, 3, 0, now);
+	tr_roster_confirm(&roster, 3, 0, now);
 	apply("a", 4, false, true);
 	EXPECT_TRUE(row("a")->gone);
 	now += TR_SEC(70);
 	tr_roster_step(&roster, now);
-	EXPECT_EQ(roster.saying_leaving, 0u);
+	EXPECT_EQ(roster.says_leaving_count, 0u);
 }
 
 TEST_F(Roster, AListDropsNothingThatIsNewer)
@@ -196,11 +196,12 @@
 {
 	uint32_t s = tr_roster_service(&roster, "svc");
 
-	EXPECT_EQ(tr_service_stats_usual(&roster.services[s], TR_SEC(1)),
+	EXPECT_EQ(tr_service_stats_mean_time(&roster.services[s], TR_SEC(1)),
 		  TR_MSEC(250));
 	for (int i = 0; i < 100; i++)
-		tr_service_stats_took(&roster.services[s], TR_MSEC(100), true);
-	EXPECT_NEAR(tr_service_stats_usual(&roster.services[s], TR_SEC(1)),
+		tr_service_stats_add_answer(&roster.services[s], TR_MSEC(100),
+					    true);
+	EXPECT_NEAR(tr_service_stats_mean_time(&roster.services[s], TR_SEC(1)),
 		    TR_MSEC(100), TR_MSEC(15));
 }
 
@@ -216,17 +217,17 @@
 	tr_roster a{}, b{};
 	apr_time_t now = TR_SEC(100);
 
-	tr_roster_current(&a, 7, 0, now);
-	tr_roster_current(&b, 7, 0, now);
+	tr_roster_confirm(&a, 7, 0, now);
+	tr_roster_confirm(&b, 7, 0, now);
 	for (int i = 0; i < 1000; i++) {
 		tr_roster &from = i % 2 ? a : b, &to = i % 2 ? b : a;
-		apr_time_t told = (now - from.current_at) / 1000 * 1000;
+		apr_time_t told = (now - from.confirmed_at) / 1000 * 1000;
 
 		now += TR_MSEC(3);
-		tr_roster_vouched(&to, 7, told, now);
+		tr_roster_confirm_from_peer(&to, 7, told, now);
 	}
-	EXPECT_GE(now - a.current_at, TR_MSEC(2900));
-	EXPECT_GE(now - b.current_at, TR_MSEC(2900));
+	EXPECT_GE(now - a.confirmed_at, TR_MSEC(2900));
+	EXPECT_GE(now - b.confirmed_at, TR_MSEC(2900));
 }
 
 /*
@@ -241,11 +242,11 @@
 	tr_roster r{};
 	apr_time_t now = TR_SEC(100);
 
-	tr_roster_current(&r, 7, 0, now);
-	tr_roster_vouched(&r, 7, TR_MSEC(10), now + TR_MSEC(390));
-	tr_roster_current(&r, 9, TR_MSEC(400), now + TR_MSEC(400));
+	tr_roster_confirm(&r, 7, 0, now);
+	tr_roster_confirm_from_peer(&r, 7, TR_MSEC(10), now + TR_MSEC(390));
+	tr_roster_confirm(&r, 9, TR_MSEC(400), now + TR_MSEC(400));
 	EXPECT_EQ(r.as_of, 9u);
-	EXPECT_GE(r.current_at, now + TR_MSEC(300));
+	EXPECT_GE(r.confirmed_at, now + TR_MSEC(300));
 }
 
 struct Lives : Roster {
@@ -349,12 +350,12 @@
 {
 	apply("a", 5);
 	apply("b", 6);
-	tr_roster_current(&roster, 6, 0, now);
+	tr_roster_confirm(&roster, 6, 0, now);
 	now += TR_SEC(8);
-	tr_roster_current(&roster, 9, 0, now);
-	tr_roster_refuse(&roster, "a", 4, now);
+	tr_roster_confirm(&roster, 9, 0, now);
+	tr_roster_reject_entry(&roster, "a", 4, now);
 	EXPECT_TRUE(tr_instance_usable(row("a"), now));
-	tr_roster_refuse(&roster, "a", 9, now);
+	tr_roster_reject_entry(&roster, "a", 9, now);
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
 	EXPECT_TRUE(tr_instance_usable(row("b"), now));
 	apply("a", 10);
@@ -391,10 +392,10 @@
 	for (int s = 0; s < 400; s++) {
 		now += TR_MSEC(100);
 		for (int i = 0; i < 9; i++)
-			tr_roster_outcome(&roster, &roster.rows[i],
-					  i < 3 ? TR_SYMPTOM_FAILED
-						: TR_SYMPTOM_ANSWERED,
-					  1, now);
+			tr_roster_add_outcome(&roster, &roster.rows[i],
+					      i < 3 ? TR_SYMPTOM_FAILED
+						    : TR_SYMPTOM_ANSWERED,
+					      1, now);
 		tr_roster_step(&roster, now);
 	}
 	EXPECT_NEAR(tr_gray_probability(&roster.rows[9].gray, now), 0.3, 0.08);
@@ -421,12 +422,12 @@
 	tr_service_stats s;
 
 	tr_service_stats_init(&s, "svc");
-	EXPECT_EQ(tr_service_stats_fail_age(&s, TR_SEC(1)), TR_MSEC(500));
-	tr_service_stats_failed(&s, TR_MSEC(3));
-	EXPECT_EQ(tr_service_stats_fail_age(&s, TR_SEC(1)), TR_MSEC(3));
+	EXPECT_EQ(tr_service_stats_failure_age(&s, TR_SEC(1)), TR_MSEC(500));
+	tr_service_stats_add_failure(&s, TR_MSEC(3));
+	EXPECT_EQ(tr_service_stats_failure_age(&s, TR_SEC(1)), TR_MSEC(3));
 	for (int i = 0; i < 100; i++)
-		tr_service_stats_failed(&s, TR_MSEC(600));
-	EXPECT_GT(tr_service_stats_fail_age(&s, TR_SEC(1)), TR_MSEC(500));
+		tr_service_stats_add_failure(&s, TR_MSEC(600));
+	EXPECT_GT(tr_service_stats_failure_age(&s, TR_SEC(1)), TR_MSEC(500));
 }
 
 TEST(Worked, AQueueStandsOnceItHasLastedLongerThanABurst)
@@ -436,7 +437,7 @@
 	auto expects = [&](apr_time_t takes, apr_time_t span) {
 		for (apr_time_t end = now + span; now < end;
 		     now += TR_MSEC(100))
-			tr_service_stats_expect(&s, takes, TR_SEC(1), now);
+			tr_service_stats_track_queue(&s, takes, TR_SEC(1), now);
 	};
 
 	tr_service_stats_init(&s, "svc");
@@ -467,13 +468,14 @@
 		r.gone = !tr_random_below(&random, 4);
 		switch (tr_random_below(&random, 8)) {
 		case 0:
-			tr_roster_refuse(&roster, id.c_str(), revision, now);
+			tr_roster_reject_entry(&roster, id.c_str(), revision,
+					       now);
 			break;
 		case 1:
 			tr_roster_drop_unlisted(&roster, &r, 1, revision, now);
 			break;
 		case 2:
-			tr_roster_current(&roster, revision, 0, now);
+			tr_roster_confirm(&roster, revision, 0, now);
 			break;
 		default:
 			tr_roster_apply(&roster, &r, now);
@@ -506,7 +508,7 @@
 	void SetUp() override
 	{
 		apply("a", 1);
-		tr_roster_current(&roster, 10, 0, now);
+		tr_roster_confirm(&roster, 10, 0, now);
 	}
 };
 
--- a/tests/worktime_test.cc
+++ b/tests/worktime_test.cc
@@ -20,8 +20,8 @@
 	for (int i = 0; i < answers; i++) {
 		auto took = (apr_time_t)times(random);
 
-		tr_worktime_took(&w, took);
-		tr_worktime_undisturbed(&w, took);
+		tr_worktime_add(&w, took);
+		tr_worktime_add_uncontended(&w, took);
 	}
 	return w;
 }
@@ -42,7 +42,7 @@
 
 	EXPECT_EQ(tr_worktime_mean(&w, TR_MSEC(250)), TR_MSEC(250));
 	for (int i = 0; i < 100; i++)
-		tr_worktime_took(&w, TR_MSEC(100));
+		tr_worktime_add(&w, TR_MSEC(100));
 	EXPECT_NEAR(tr_worktime_mean(&w, TR_MSEC(250)), TR_MSEC(100),
 		    TR_MSEC(12));
 }
