--- a/lib/floor.c
+++ b/lib/floor.c
@@ -220,7 +220,7 @@
 	unsigned first =
 		(unsigned)(tr_hash_pair(idle->target, turn) % turns->vms);
 
-	return (turns->place + turns->vms - first) % turns->vms <
+	return (turns->rank + turns->vms - first) % turns->vms <
 	       TURN_RATE / rate * turns->vms;
 }
 
--- a/lib/floor.h
+++ b/lib/floor.h
@@ -6,10 +6,10 @@
 /* Targets that may be due at the same time. */
 #define TR_FLOOR_IDLE_MAX 32
 
-/* This VM's place among those of its group that send requests, and how many
+/* This VM's rank among those of its group that send requests, and how many
  * there are, 0 or 1 where it knows of no other. */
 struct tr_floor_rotation {
-	unsigned place;
+	unsigned rank;
 	unsigned vms;
 };
 
