--- a/entry/idle.c
+++ b/entry/idle.c
@@ -65,7 +65,7 @@
 
 	return (struct tr_floor_load){
 		.outcomes = tr_service_stats_recent_outcomes(svc, now),
-		.failing = tr_service_stats_failure_ratio(svc),
+		.failure_ratio = tr_service_stats_failure_ratio(svc),
 		.rate = tr_allowance_rate(entry_allowance(e, service),
 					  &e->repeat_bound, now),
 	};
@@ -135,9 +135,9 @@
 		 "service=%s verdict=%s missing=%.1f at_work=%.1f at_rest=%.1f "
 		 "idle=%.1f idle_fitting=%u ended=%.1f failing=%.3f rate=%.1f "
 		 "unasked_idle=%u unasked_in_flight=%u unasked_failed=%u",
-		 svc->name, verdict_words[verdict], missing, check->at_work,
-		 check->at_rest, check->idle_healthy, check->idle_count,
-		 load.outcomes, load.failing, load.rate,
+		 svc->name, verdict_words[verdict], missing, check->active,
+		 check->active_unloaded, check->idle_healthy, check->idle_count,
+		 load.outcomes, load.failure_ratio, load.rate,
 		 unasked->count[TR_FLOOR_IDLE],
 		 unasked->count[TR_FLOOR_IN_FLIGHT],
 		 unasked->count[TR_FLOOR_FAILED_LATELY]);
--- a/lib/floor.c
+++ b/lib/floor.c
@@ -34,7 +34,7 @@
  * these, and of those at rest only a part, in which more can be idle than in
  * all. */
 #define SPARE_IN_FLIGHT 0.05
-/* From this share of failing requests on any part of the targets may be
+/* From this share of failure_ratio requests on any part of the targets may be
  * counted.
  */
 #define FAILING 0.1
@@ -74,7 +74,7 @@
 void tr_floor_check_set_load(struct tr_floor_check *check,
 			     const struct tr_floor_load *load)
 {
-	check->high_failure_rate = load->failing >= FAILING;
+	check->high_failure_rate = load->failure_ratio >= FAILING;
 }
 
 /* Keep those that are most probably well, in order. */
@@ -140,8 +140,9 @@
 	double well = 1 - risk;
 
 	if (stands == TR_FLOOR_ACTIVE) {
-		check->at_work += well;
-		check->at_rest += tr_instance_in_flight(row, now) ? 0 : well;
+		check->active += well;
+		check->active_unloaded +=
+			tr_instance_in_flight(row, now) ? 0 : well;
 		return;
 	}
 	if (stands != TR_FLOOR_IDLE)
@@ -165,7 +166,7 @@
 		       const struct tr_floor_load *load)
 {
 	return load->outcomes >=
-	       LEAST_WORK * (check->at_work + check->idle_healthy);
+	       LEAST_WORK * (check->active + check->idle_healthy);
 }
 
 /* How many of the targets that would be counted now must be put to work. While
@@ -173,13 +174,14 @@
 static double missing_of(const struct tr_floor_check *check, double share,
 			 const struct tr_floor_load *load)
 {
-	double counted = check->at_rest + check->idle_healthy;
-	double in_flight = check->at_work - check->at_rest;
+	double counted = check->active_unloaded + check->idle_healthy;
+	double in_flight = check->active - check->active_unloaded;
 	double spare = SPARE + SPARE_IN_FLIGHT * in_flight;
 
-	if (load->failing >= FAILING || !many_ended(check, load) || counted < 1)
+	if (load->failure_ratio >= FAILING || !many_ended(check, load) ||
+	    counted < 1)
 		return check->idle_healthy;
-	return fmin(share * counted + spare, counted) - check->at_rest;
+	return fmin(share * counted + spare, counted) - check->active_unloaded;
 }
 
 /* Do so many requests come that the share can be kept? Where a service gets
@@ -187,7 +189,7 @@
 static bool can_reach(const struct tr_floor_check *check, double share,
 		      const struct tr_floor_load *load)
 {
-	double targets = check->at_work + check->idle_healthy;
+	double targets = check->active + check->idle_healthy;
 
 	return many_ended(check, load) ||
 	       load->rate * SPAN_S >= share * targets;
--- a/lib/floor.h
+++ b/lib/floor.h
@@ -34,8 +34,8 @@
 	struct tr_floor_rotation turns;
 	apr_time_t idle_after;
 	bool high_failure_rate;
-	double at_work;
-	double at_rest;
+	double active;
+	double active_unloaded;
 	double idle_healthy;
 	struct tr_floor_idle idle[TR_FLOOR_IDLE_MAX];
 	unsigned idle_count;
@@ -45,7 +45,7 @@
  * that failed, and how many a second come. */
 struct tr_floor_load {
 	double outcomes;
-	double failing;
+	double failure_ratio;
 	double rate;
 };
 
--- a/lib/place.c
+++ b/lib/place.c
@@ -216,7 +216,7 @@
 
 	return (struct tr_floor_load){
 		.outcomes = tr_service_stats_recent_outcomes(svc, now),
-		.failing = tr_service_stats_failure_ratio(svc),
+		.failure_ratio = tr_service_stats_failure_ratio(svc),
 		.rate = req->wanted,
 	};
 }
