--- a/lib/floor.c
+++ b/lib/floor.c
@@ -1,10 +1,12 @@
 /*
- * The floor: a share of a service's sound targets must be at work, whatever is
- * suspected of them, since what is wrong with them mostly ends by itself and
- * nobody tells. Operators leave out the targets at which requests fail. So the
- * share is kept among those that would be counted if all VMs ended now, which
- * are those without a request in flight; while it is too small, each idle
- * target is due for a request by a deadline of its own.
+ * Picks the requests that keep a service above its floor: a minimum share of
+ * its healthy targets must have had a request lately, even those suspected to
+ * be gray, because most gray spells end by themselves and nobody reports that.
+ *
+ * Operators leave out targets at which requests fail. If all VMs ended now,
+ * that would be every target with a request in flight, so the share is kept
+ * among the targets without one. While it is too small, each idle target has a
+ * deadline of its own by which it must be sent a request.
  */
 #include "floor.h"
 
@@ -13,49 +15,46 @@
 #include "clock.h"
 #include "hash.h"
 
-/* Operators look at spans of two seconds. A target counts as idle after the
- * first of these times, and is sent a request within the second, so that it
- * arrives before the span is over. */
+/* Operators check windows of two seconds. A target counts as idle after
+ * IDLE_AFTER and is sent a request within SEND_WITHIN, so that it arrives
+ * before the window ends. */
 #define IDLE_AFTER  TR_MSEC(1450)
-#define SENT_WITHIN TR_MSEC(500)
-/* Requests that may be sent once more find out earlier, so that those that must
- * run once are sent to fewer suspects. */
+#define SEND_WITHIN TR_MSEC(500)
+/* Requests that may be repeated are sent to idle targets earlier, so that fewer
+ * of those that must run once go to suspected targets. */
 #define IDLE_AFTER_REPEATABLE TR_MSEC(800)
-/* To operators a target that failed is sound again after so long. */
-#define SOUND_AFTER TR_SEC(2)
-/* A target that has just come is not expected to be at work. */
+/* Operators count a target that failed as healthy again after this time. */
+#define HEALTHY_AFTER TR_SEC(2)
+/* A target that has just been listed need not be in use yet. */
 #define NEW_FOR TR_SEC(2)
-/* A target at which a request hangs is at work, for so long at most. */
+/* A target whose request hangs is not idle, but for no longer than this. */
 #define HANGS_FOR TR_MSEC(3300)
-/* So many targets more than the share are kept at work: of few each one counts.
- */
-#define SPARE 1.25
-/* And so many for each that has a request in flight: operators don't count
- * these, and of those at rest only a part, in which more can be idle than in
- * all. */
-#define SPARE_IN_FLIGHT 0.05
-/* From this share of failure_ratio requests on any part of the targets may be
- * counted.
- */
-#define FAILING 0.1
-/* Requests a target that ended within the last seconds, from which on the part
- * that failed is known. */
+/* Targets to keep active beyond the share: of few targets each one counts. */
+#define MARGIN 1.25
+/* Further targets to keep active for each one that has a request in flight.
+ * Operators don't count those, and the idle ones may be a larger part of the
+ * rest than of all targets. */
+#define MARGIN_PER_IN_FLIGHT 0.05
+/* From this failure ratio on, operators may count any subset of the targets. */
+#define HIGH_FAILURE_RATIO 0.1
+/* Recent outcomes per target from which on the failure ratio is reliable. */
 #define LEAST_WORK 1.0
-/* Over so long a request is spread where VMs know of no other, or up to the
- * deadline. */
+/* A request is spread over this time, or until its deadline if that is sooner.
+ */
 #define SPREAD_OVER TR_MSEC(185)
-/* A target that is due is left to some of the VMs for so long; then any VM may
- * send there, so that it is sent its request in time whichever VMs have
- * callers; and if nobody has sent for some time, the next ones have their turn.
+/* An idle target is first left to some of the VMs, for TURN_DURATION. After
+ * that any VM may send to it, so that it gets its request in time whichever VMs
+ * have callers. If none did, the turn goes to the next VMs after TURN_PERIOD.
  */
-#define TURN_LASTS	TR_MSEC(350)
-#define NEXT_TURN_AFTER TR_MSEC(550)
-/* So many requests a second come to the VMs whose turn it is together. */
+#define TURN_DURATION TR_MSEC(350)
+#define TURN_PERIOD   TR_MSEC(550)
+/* Requests per second that come to the VMs of one turn together. */
 #define TURN_RATE 10.0
-/* The span in which the share of the targets must be at work, in seconds. */
-#define SPAN_S 2.0
+/* The window of the operators' check, in seconds. */
+#define WINDOW_S 2.0
 
-/* Begin to look at a service. may_repeat: the request may be sent once more. */
+/* Starts a check. may_repeat tells whether the request may be sent again if it
+ * fails. */
 void tr_floor_check_init(struct tr_floor_check *check, bool may_repeat)
 {
 	*check = (struct tr_floor_check){
@@ -63,21 +62,21 @@
 	};
 }
 
-/* Of the VMs that send requests only some do so for the floor at a time. */
+/* Lets the VMs that send requests take turns with the floor's requests. */
 void tr_floor_check_set_rotation(struct tr_floor_check *check,
-				 const struct tr_floor_rotation *turns)
+				 const struct tr_floor_rotation *rotation)
 {
-	check->turns = *turns;
+	check->rotation = *rotation;
 }
 
-/* What came of the service's requests lately, before targets are added. */
+/* Sets the recent load of the service. Called before targets are added. */
 void tr_floor_check_set_load(struct tr_floor_check *check,
 			     const struct tr_floor_load *load)
 {
-	check->high_failure_rate = load->failure_ratio >= FAILING;
+	check->high_failure_rate = load->failure_ratio >= HIGH_FAILURE_RATIO;
 }
 
-/* Keep those that are most probably well, in order. */
+/* Keeps the idle targets that are most probably healthy, sorted by risk. */
 static void add_idle(struct tr_floor_check *check,
 		     const struct tr_floor_idle *idle)
 {
@@ -93,23 +92,23 @@
 }
 
 /*
- * Since when the target has been idle: a failure counts as work, because
- * operators don't expect it to serve so soon after. For a VM a request that
- * hangs fails when its wait ends; while many requests fail that counts as no
- * later than SOUND_AFTER from when it was sent.
+ * Returns since when the target has been idle. A failure counts as use, because
+ * operators don't expect the target to serve right after it. To a VM a request
+ * that hangs fails when its timeout ends; while many requests fail, it counts
+ * as failed no later than HEALTHY_AFTER after it was sent.
  */
 static apr_time_t idle_since(const struct tr_floor_check *check,
 			     const struct tr_instance *row)
 {
 	apr_time_t failed_at = row->failed_at;
-	apr_time_t sound_at = row->hung_at + SOUND_AFTER;
+	apr_time_t healthy_at = row->hung_at + HEALTHY_AFTER;
 
-	if (check->high_failure_rate && failed_at > sound_at)
-		failed_at = sound_at;
+	if (check->high_failure_rate && failed_at > healthy_at)
+		failed_at = healthy_at;
 	return failed_at > row->used_at ? failed_at : row->used_at;
 }
 
-/* How the target stands with the floor. */
+/* Tells whether the target is idle, or else why it needs no request. */
 enum tr_floor_target_state
 tr_floor_target_state(const struct tr_floor_check *check,
 		      const struct tr_instance *row, apr_time_t now)
@@ -127,158 +126,164 @@
 }
 
 /*
- * Look at one target of the service, with its chance of being gray; fits tells
- * whether a request could be sent to it now.
+ * Adds one target of the service to the check. at is its row, risk the
+ * probability that it is gray. fits tells whether a request could be sent to it
+ * now.
  */
 void tr_floor_check_add(struct tr_floor_check *check,
 			const struct tr_instance *row, uint32_t at, double risk,
 			bool fits, apr_time_t now)
 {
-	apr_time_t late = now - idle_since(check, row) - check->idle_after;
-	enum tr_floor_target_state stands =
+	apr_time_t overdue = now - idle_since(check, row) - check->idle_after;
+	enum tr_floor_target_state state =
 		tr_floor_target_state(check, row, now);
-	double well = 1 - risk;
+	double healthy = 1 - risk;
 
-	if (stands == TR_FLOOR_ACTIVE) {
-		check->active += well;
+	if (state == TR_FLOOR_ACTIVE) {
+		check->active += healthy;
 		check->active_unloaded +=
-			tr_instance_in_flight(row, now) ? 0 : well;
+			tr_instance_in_flight(row, now) ? 0 : healthy;
 		return;
 	}
-	if (stands != TR_FLOOR_IDLE)
+	if (state != TR_FLOOR_IDLE)
 		return;
-	check->idle_healthy += well;
+	check->idle_healthy += healthy;
 	if (fits)
 		add_idle(check,
 			 &(struct tr_floor_idle){
 				 .row = at,
 				 .risk = risk,
-				 .left = late < SENT_WITHIN ? SENT_WITHIN - late
-							    : 0,
-				 .due_for = late,
+				 .remaining = overdue < SEND_WITHIN
+						      ? SEND_WITHIN - overdue
+						      : 0,
+				 .idle_for = overdue,
 				 .target = row->hash,
 			 });
 }
 
-/* Have so many requests ended lately that the part of them that failed tells
- * anything? */
-static bool many_ended(const struct tr_floor_check *check,
-		       const struct tr_floor_load *load)
+/* Tells whether enough requests ended lately for their failure ratio to be
+ * reliable. */
+static bool enough_outcomes(const struct tr_floor_check *check,
+			    const struct tr_floor_load *load)
 {
 	return load->outcomes >=
 	       LEAST_WORK * (check->active + check->idle_healthy);
 }
 
-/* How many of the targets that would be counted now must be put to work. While
- * many requests fail, or may as far as is known, any part may be counted. */
-static double missing_of(const struct tr_floor_check *check, double share,
-			 const struct tr_floor_load *load)
+/* Returns how many more targets must be used. Those with a request in flight
+ * are not counted. While the failure ratio is high, or not known, operators may
+ * count any subset of the targets, so that no target may be idle. */
+static double missing_targets(const struct tr_floor_check *check, double share,
+			      const struct tr_floor_load *load)
 {
 	double counted = check->active_unloaded + check->idle_healthy;
 	double in_flight = check->active - check->active_unloaded;
-	double spare = SPARE + SPARE_IN_FLIGHT * in_flight;
+	double margin = MARGIN + MARGIN_PER_IN_FLIGHT * in_flight;
 
-	if (load->failure_ratio >= FAILING || !many_ended(check, load) ||
-	    counted < 1)
+	if (load->failure_ratio >= HIGH_FAILURE_RATIO ||
+	    !enough_outcomes(check, load) || counted < 1)
 		return check->idle_healthy;
-	return fmin(share * counted + spare, counted) - check->active_unloaded;
+	return fmin(share * counted + margin, counted) - check->active_unloaded;
 }
 
-/* Do so many requests come that the share can be kept? Where a service gets
- * requests again after a while, those that came have not ended yet. */
-static bool can_reach(const struct tr_floor_check *check, double share,
-		      const struct tr_floor_load *load)
+/* Tells whether enough requests come to meet the floor. When a service gets
+ * requests again after a pause, the first ones have not ended yet, so their
+ * rate counts too. */
+static bool enough_requests(const struct tr_floor_check *check, double share,
+			    const struct tr_floor_load *load)
 {
 	double targets = check->active + check->idle_healthy;
 
-	return many_ended(check, load) ||
-	       load->rate * SPAN_S >= share * targets;
+	return enough_outcomes(check, load) ||
+	       load->rate * WINDOW_S >= share * targets;
 }
 
-/* Does the floor ask for requests? missing: how many targets must be put to
- * work. */
+/* Tells whether the service meets its floor. *missing is how many more targets
+ * must be used. */
 enum tr_floor_verdict tr_floor_verdict(const struct tr_floor_check *check,
 				       double share,
 				       const struct tr_floor_load *load,
 				       double *missing)
 {
-	*missing = missing_of(check, share, load);
+	*missing = missing_targets(check, share, load);
 	if (*missing <= 0)
 		return TR_FLOOR_ENOUGH;
-	if (!can_reach(check, share, load))
+	if (!enough_requests(check, share, load))
 		return TR_FLOOR_FEW_REQUESTS;
 	return TR_FLOOR_SHORT;
 }
 
 /*
- * Is it this VM's turn to send a request to the target? All VMs see the same
- * targets idle, and hear of each other's requests only later: until then all
- * would send there.
+ * Tells whether it is this VM's turn to send a request to the target. All VMs
+ * see the same idle targets and learn of each other's requests only later;
+ * without turns all of them would send one.
  */
-static bool has_turn(const struct tr_floor_rotation *turns,
+static bool has_turn(const struct tr_floor_rotation *rotation,
 		     const struct tr_floor_idle *idle, double rate)
 {
-	uint64_t turn = (uint64_t)(idle->due_for / NEXT_TURN_AFTER);
+	uint64_t turn = (uint64_t)(idle->idle_for / TURN_PERIOD);
 	unsigned first =
-		(unsigned)(tr_hash_pair(idle->target, turn) % turns->vms);
+		(unsigned)(tr_hash_pair(idle->target, turn) % rotation->vms);
 
-	return (turns->rank + turns->vms - first) % turns->vms <
-	       TURN_RATE / rate * turns->vms;
+	return (rotation->rank + rotation->vms - first) % rotation->vms <
+	       TURN_RATE / rate * rotation->vms;
 }
 
-/* The chance of a request that may come to any VM to be the one that is sent
- * within the time that is left. */
-static double spread_chance(double rate, apr_time_t left)
+/* Returns the probability with which each request must be chosen so that, of
+ * those that come within remaining, one is. rate is in requests per second over
+ * all VMs. */
+static double spread_probability(double rate, apr_time_t remaining)
 {
-	double requests = rate * (double)left / 1e6;
+	double requests = rate * (double)remaining / 1e6;
 
 	return requests > 1 ? 1 / requests : 1;
 }
 
-/* The chance that this request is the one to be sent to the target. It stays
- * small for one that was not asked for before its time was over: there all VMs
- * would send at once. */
-static double chance_of(const struct tr_floor_check *check,
-			const struct tr_floor_idle *idle, double rate)
+/* Returns the probability that this request is sent to the idle target. It
+ * stays small for a target that had become idle long before the floor needed
+ * it: otherwise all VMs would send to it at once. */
+static double send_probability(const struct tr_floor_check *check,
+			       const struct tr_floor_idle *idle, double rate)
 {
-	apr_time_t since = idle->due_for % NEXT_TURN_AFTER;
+	apr_time_t since = idle->idle_for % TURN_PERIOD;
 
-	if (check->turns.vms < 2)
-		return spread_chance(rate, idle->left < SPREAD_OVER
-						   ? idle->left
-						   : SPREAD_OVER);
-	if (since < TURN_LASTS)
-		return has_turn(&check->turns, idle, rate);
-	return spread_chance(rate,
-			     idle->due_for > since ? SPREAD_OVER : idle->left);
+	if (check->rotation.vms < 2)
+		return spread_probability(rate, idle->remaining < SPREAD_OVER
+							? idle->remaining
+							: SPREAD_OVER);
+	if (since < TURN_DURATION)
+		return has_turn(&check->rotation, idle, rate);
+	return spread_probability(
+		rate, idle->idle_for > since ? SPREAD_OVER : idle->remaining);
 }
 
 /*
- * The target that is due for this request so that the share is at work, or
- * TR_NO_ROW. drawn is a number drawn evenly from 0 to 1.
+ * Returns the row of the idle target that this request must go to so that the
+ * floor is met, or TR_NO_ROW. drawn is a random number, uniform between 0 and
+ * 1.
  *
- * VMs take turns. Between two turns, and where a VM knows of no other, each
- * request may be the one, by a chance that grows to 1: it is spread evenly, and
- * sent at last whatever is drawn. Targets whose time is over share the
- * requests.
+ * VMs take turns. Between two turns, and if this VM knows of no other, each
+ * request may be the one that is sent, with a probability that grows to 1.
+ * Requests are thus spread evenly, and one is always sent before the deadline.
+ * Targets past their deadline share the requests.
  */
 uint32_t tr_floor_check_pick(const struct tr_floor_check *check, double share,
 			     const struct tr_floor_load *load, double drawn)
 {
-	double lacking;
+	double missing;
 	double sum = 0;
 	unsigned n = 0;
 
-	if (tr_floor_verdict(check, share, load, &lacking) != TR_FLOOR_SHORT)
+	if (tr_floor_verdict(check, share, load, &missing) != TR_FLOOR_SHORT)
 		return TR_NO_ROW;
-	for (; n < check->idle_count && lacking > 0; n++) {
-		lacking -= 1 - check->idle[n].risk;
-		sum += chance_of(check, &check->idle[n], load->rate);
+	for (; n < check->idle_count && missing > 0; n++) {
+		missing -= 1 - check->idle[n].risk;
+		sum += send_probability(check, &check->idle[n], load->rate);
 	}
 	if (sum > 1)
 		drawn *= sum;
 	for (unsigned i = 0; i < n; i++) {
-		drawn -= chance_of(check, &check->idle[i], load->rate);
+		drawn -= send_probability(check, &check->idle[i], load->rate);
 		if (drawn < 0)
 			return check->idle[i].row;
 	}
--- a/lib/floor.h
+++ b/lib/floor.h
@@ -1,75 +1,91 @@
 #ifndef TR_FLOOR_H
 #define TR_FLOOR_H
 
+/*
+ * The floor of a service: the minimum share of its healthy targets that must
+ * have had a request lately. A check looks at all targets of a service once and
+ * picks the idle target, if any, that the next request must go to.
+ */
 #include "roster.h"
 
-/* Targets that may be due at the same time. */
+/* Idle targets that one check keeps at most. */
 #define TR_FLOOR_IDLE_MAX 32
 
-/* This VM's rank among those of its group that send requests, and how many
- * there are, 0 or 1 where it knows of no other. */
+/* The rotation by which the VMs of a group send the floor's requests. */
 struct tr_floor_rotation {
+	/* This VM's number among the VMs that send requests, from 0. */
 	unsigned rank;
+	/* How many VMs send requests; 0 or 1 if this VM knows of no other. */
 	unsigned vms;
 };
 
-/* A target that has had no request for a while: for how long one has been due,
- * and how much time is left until it must have one. */
+/* An idle target that needs a request. */
 struct tr_floor_idle {
 	uint32_t row;
 	uint32_t target;
+	/* The probability that it is gray, from 0 to 1. */
 	double risk;
-	apr_time_t due_for;
-	apr_time_t left;
+	/* Time since it counts as idle, in us. */
+	apr_time_t idle_for;
+	/* Time until a request must have been sent to it, in us. */
+	apr_time_t remaining;
 };
 
 /*
- * How much of a service is at work: its targets, each by the chance that it is
- * well; those that had a request within idle_after, of them those at rest,
- * which have none in flight; and those that are idle, the one with the least
- * time left first. high_failure_rate: so many requests fail that operators look
- * at which targets are at work.
+ * The state of one service's targets. The three sums count each target by its
+ * probability of being healthy.
  */
 struct tr_floor_check {
-	struct tr_floor_rotation turns;
+	struct tr_floor_rotation rotation;
+	/* A target that had no request for so long is idle. */
 	apr_time_t idle_after;
+	/* So many requests fail that operators check the share in use. */
 	bool high_failure_rate;
+	/* Targets that had a request within idle_after. */
 	double active;
+	/* Those of them that have no request in flight. */
 	double active_unloaded;
+	/* Targets that are idle. */
 	double idle_healthy;
+	/* The idle targets that can take a request, the least risky first. */
 	struct tr_floor_idle idle[TR_FLOOR_IDLE_MAX];
 	unsigned idle_count;
 };
 
-/* What came of a service's requests lately: how many ended, the part of them
- * that failed, and how many a second come. */
+/* Recent requests of a service. */
 struct tr_floor_load {
+	/* How many ended lately. */
 	double outcomes;
+	/* The share of these that failed, from 0 to 1. */
 	double failure_ratio;
+	/* Requests per second. */
 	double rate;
 };
 
-/* How a target stands with the floor: it had a request lately, or got none and
- * is not asked for one since it failed lately, has just come or has a request
- * in flight, or it is idle. */
+/* Whether a target counts as idle, or why it doesn't. */
 enum tr_floor_target_state {
+	/* It had a request lately. */
 	TR_FLOOR_ACTIVE,
+	/* A request failed there lately. */
 	TR_FLOOR_FAILED_LATELY,
+	/* It was listed only just now. */
 	TR_FLOOR_NEW,
+	/* Its newest request is still in flight. */
 	TR_FLOOR_IN_FLIGHT,
 	TR_FLOOR_IDLE,
 };
 
-/* What the floor asks for of a service. */
+/* Whether a service meets its floor. */
 enum tr_floor_verdict {
 	TR_FLOOR_ENOUGH,
+	/* It doesn't, but gets too few requests to meet it. */
 	TR_FLOOR_FEW_REQUESTS,
 	TR_FLOOR_SHORT,
 };
 
 void tr_floor_check_init(struct tr_floor_check *check, bool may_repeat);
 void tr_floor_check_set_rotation(struct tr_floor_check *check,
-				 const struct tr_floor_rotation *turns);
+				 const struct tr_floor_rotation *rotation);
 void tr_floor_check_set_load(struct tr_floor_check *check,
 			     const struct tr_floor_load *load);
 enum tr_floor_target_state
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -520,7 +520,7 @@
 		tr_floor_check_init(&alone, false);
 		alone.high_failure_rate = check.high_failure_rate;
 		tr_floor_check_add(&alone, row, at, 0, true, now);
-		if (alone.idle_count && !alone.idle[0].left) {
+		if (alone.idle_count && !alone.idle[0].remaining) {
 			for (unsigned i = 0; i < check.idle_count; i++) {
 				if (missing <= 0)
 					return "share seemed kept by the mean";
