--- a/lib/gray.h
+++ b/lib/gray.h
@@ -1,14 +1,18 @@
 #ifndef TR_GRAY_H
 #define TR_GRAY_H
 
+/*
+ * The probability that a target has a gray failure: it accepts requests but
+ * fails or hangs most of them.
+ */
 #include <apr_time.h>
 #include <stdbool.h>
 #include <stdint.h>
 
 /*
- * How one request at a target goes on, as evidence. LONG, LATE and OVERDUE are
- * said while it still runs, one after the other; an answer after that is
- * LONG_GOOD, LATE_GOOD or SLOW.
+ * What is observed of one request at a target. LONG, LATE and OVERDUE are
+ * reported in this order while the request still runs; an answer after that is
+ * ANSWERED_LONG, ANSWERED_LATE or ANSWERED_OVERDUE.
  */
 enum tr_symptom {
 	TR_SYMPTOM_ANSWERED,
@@ -22,7 +26,7 @@
 	TR_SYMPTOMS,
 };
 
-/* How far a running request has come. */
+/* How long a running request has taken, compared with the service's answers. */
 enum tr_request_stage {
 	TR_STAGE_NORMAL,
 	TR_STAGE_LONG,
@@ -30,24 +34,26 @@
 	TR_STAGE_OVERDUE,
 };
 
-/* Running totals of one VM's outcomes at one target; they wrap around. */
+/* One VM's running totals of symptoms at one target; they wrap around. */
 struct tr_symptom_totals {
 	uint16_t count[TR_SYMPTOMS];
 };
 
-/* Log-odds that a target is gray now, and the time they hold for; prior is the
- * chance of one of which nothing is known, 0 before that is learned. */
 struct tr_gray {
-	double odds;
-	apr_time_t at;
+	/* Log-odds that the target is gray, as of updated_at. */
+	double log_odds;
+	apr_time_t updated_at;
+	/* The probability for a target without evidence; 0 if not yet learned.
+	 */
 	double prior;
 };
 
 void tr_gray_add(struct tr_gray *gray, enum tr_symptom symptom, unsigned times,
 		 apr_time_t now);
-void tr_gray_set_probability(struct tr_gray *gray, double risk, apr_time_t now);
+void tr_gray_set_probability(struct tr_gray *gray, double probability,
+			     apr_time_t now);
 double tr_gray_probability(const struct tr_gray *gray, apr_time_t now);
-apr_time_t tr_gray_stage_start(enum tr_request_stage stage, apr_time_t usual,
+apr_time_t tr_gray_stage_start(enum tr_request_stage stage, apr_time_t mean,
 			       double spread);
 enum tr_symptom tr_gray_stage_symptom(enum tr_request_stage stage);
 enum tr_symptom tr_gray_answer_symptom(enum tr_request_stage stage);
--- a/tests/gray_test.cc
+++ b/tests/gray_test.cc
@@ -82,7 +82,7 @@
 
 	tr_gray_add(&few, TR_SYMPTOM_FAILED, 4, now);
 	add(TR_SYMPTOM_FAILED, 400);
-	EXPECT_NEAR(gray.odds, few.odds, 0.01);
+	EXPECT_NEAR(gray.log_odds, few.log_odds, 0.01);
 }
 
 TEST_F(Gray, StagesComeOneAfterTheOther)
