--- a/lib/group.c
+++ b/lib/group.c
@@ -1,15 +1,16 @@
 /*
- * Which VMs tell each other everything, and which of these groups a target
- * belongs to. A small fleet is one group. A larger one is split by data centre,
- * and a data centre with many VMs by rendezvous hashing of their addresses, so
- * that VMs with the same view agree without a word.
+ * Divides the VMs of a fleet into groups. The VMs of a group exchange all they
+ * observe, and each target has one home group. A small fleet is one group. A
+ * larger one is split by data centre, and a data centre with many VMs by
+ * rendezvous hashing of their addresses, so that VMs with the same view agree
+ * without coordination.
  *
- * What goes wrong without groups: what a VM hears, keeps and handles grows with
- * the fleet, so news has to be told more seldom the larger it is. In one group
- * of 442 VMs a gray target was told of after 0.44 s, a lost VM was named to
- * callers for 13 s, a VM held 18 MB, and 0.108 of a quiet day's requests
- * failed. In groups a VM hears what it would in a fleet of some 40: 0.036
- * failed, 4 MB.
+ * Without groups the messages that a VM receives, stores and handles grow with
+ * the fleet, so that the larger the fleet is, the less often VMs can report. In
+ * one group of 442 VMs a gray target was reported after 0.44 s, a lost VM was
+ * named to callers for 13 s, a VM used 18 MB, and 0.108 of a quiet day's
+ * requests failed. In groups a VM receives what it would in a fleet of some 40:
+ * 0.036 failed, 4 MB.
  */
 #include "group.h"
 
@@ -20,18 +21,18 @@
 #include "hash.h"
 #include "mechanism.h"
 
-/* A fleet of more VMs is split: up to here news of a target reaches all that
- * use it within 0.1 s at a thousand messages a second and VM, and a bound on
- * repeats that all share is used best. */
-#define ONE_GROUP_MOST 100
-/* VMs that a group has at most; a data centre with more is split. In groups of
- * 74, one a data centre, 0.038 instead of 0.036 failed, and a day cost as much.
- */
-#define GROUP_MOST 60
-/* How often the VMs that live are counted. */
-#define COUNT_EVERY TR_MSEC(100)
-
-static uint64_t name_of(const char *data_centre, unsigned part)
+/* The largest fleet that is one group. Up to this size news of a target reaches
+ * all VMs that use it within 0.1 s at a thousand messages per second and VM,
+ * and a retry budget shared by all is used best. */
+#define SINGLE_GROUP_MAX 100
+/* The largest group; a data centre with more VMs is split. In groups of 74, one
+ * per data centre, 0.038 of the requests failed instead of 0.036, and a day
+ * cost as much. */
+#define GROUP_MAX 60
+/* How often the VMs that are alive are counted. */
+#define COUNT_INTERVAL TR_MSEC(100)
+
+static uint64_t group_name(const char *data_centre, unsigned part)
 {
 	return tr_hash_pair(tr_hash_string(data_centre), part);
 }
@@ -49,11 +50,11 @@
 	memset(grown, 0, sizeof(*grown));
 	memcpy(grown->data_centre, data_centre, sizeof(grown->data_centre));
 	grown->part = part;
-	grown->name = name_of(data_centre, part);
+	grown->name = group_name(data_centre, part);
 	return grown;
 }
 
-/* The first part of the data centre, or NULL. */
+/* Returns the first group of the data centre, or NULL. */
 static struct tr_group *first_part(const struct tr_membership *m,
 				   const char *data_centre)
 {
@@ -63,8 +64,9 @@
 	return NULL;
 }
 
-/* Make a group a data centre; its first part counts the VMs of all parts. */
-static void add_centres(struct tr_membership *m)
+/* Adds one group per data centre, which counts the VMs of the whole data
+ * centre. */
+static void add_data_centre_groups(struct tr_membership *m)
 {
 	for (unsigned i = 0; i < m->count; i++) {
 		const char *centre = m->nodes[i].data_centre;
@@ -79,15 +81,15 @@
 	}
 }
 
-/* Split those that are too large. */
-static void add_parts(struct tr_membership *m)
+/* Adds further groups to data centres that are too large for one. */
+static void split_large_data_centres(struct tr_membership *m)
 {
 	unsigned centres = m->groups_count;
 
 	for (unsigned i = 0; i < centres; i++) {
 		unsigned all = m->groups[i].count;
 
-		for (unsigned part = 1; part * GROUP_MOST < all; part++) {
+		for (unsigned part = 1; part * GROUP_MAX < all; part++) {
 			char centre[TR_ID_MAX + 1];
 
 			memcpy(centre, m->groups[i].data_centre,
@@ -97,8 +99,11 @@
 	}
 }
 
-static uint16_t draw_part(const struct tr_membership *m, const char *centre,
-			  uint64_t key, bool alive)
+/* Returns the group that scores highest for the key by rendezvous hashing,
+ * among those of the data centre or, if it is NULL, all. alive: only groups
+ * with VMs that are alive. */
+static uint16_t choose_group(const struct tr_membership *m, const char *centre,
+			     uint64_t key, bool alive)
 {
 	uint16_t found = TR_NO_GROUP;
 	uint64_t best = 0;
@@ -118,85 +123,89 @@
 	return found;
 }
 
-static bool is_whole(const struct tr_membership *m)
+static bool is_single_group(const struct tr_membership *m)
 {
 	return m->groups_count == 1 && !*m->groups[0].data_centre;
 }
 
-static void place_node(struct tr_membership *m, struct tr_node *node)
+static void assign_node(struct tr_membership *m, struct tr_node *node)
 {
 	node->here = !strcmp(node->data_centre, m->nodes[0].data_centre);
 	node->group = TR_NO_GROUP;
-	if (is_whole(m))
+	if (is_single_group(m))
 		node->group = 0;
 	else if (*node->data_centre)
-		node->group = draw_part(m, node->data_centre, node->ip, false);
+		node->group =
+			choose_group(m, node->data_centre, node->ip, false);
 	node->near = node->group == m->nodes[0].group;
 	m->near_count += node->near;
 }
 
-/* Form the groups anew: a VM was learned, or a data centre, or the size. */
+/* Rebuilds all groups, after a VM, a data centre or the fleet's size was
+ * learned. */
 void tr_groups_rebuild(struct tr_membership *m)
 {
-	static const char nowhere[TR_ID_MAX + 1];
+	static const char no_data_centre[TR_ID_MAX + 1];
 
 	m->groups_count = 0;
-	if (tr_membership_size(m) <= ONE_GROUP_MOST ||
+	if (tr_membership_size(m) <= SINGLE_GROUP_MAX ||
 	    !*m->nodes[0].data_centre || !tr_mechanism_on(TR_MECH_GROUPS)) {
-		add_group(m, nowhere, 0);
+		add_group(m, no_data_centre, 0);
 	} else {
-		add_centres(m);
-		add_parts(m);
+		add_data_centre_groups(m);
+		split_large_data_centres(m);
 	}
 	m->near_count = 0;
 	for (unsigned i = 0; i < m->count; i++)
-		place_node(m, &m->nodes[i]);
+		assign_node(m, &m->nodes[i]);
 	m->generation++;
 	m->counted_at = 0;
 }
 
-/* Count the VM in its data centre. Does that take a new group, or more parts?
- */
-static bool outgrows(struct tr_membership *m, const struct tr_node *node)
+/* Counts the VM in its data centre. Tells whether the groups must be rebuilt,
+ * since a data centre is new or needs another group, or the fleet is too large
+ * for one. */
+static bool needs_rebuild(struct tr_membership *m, const struct tr_node *node)
 {
 	struct tr_group *first = first_part(m, node->data_centre);
 	unsigned parts = 0;
 
-	if (is_whole(m))
-		return tr_membership_size(m) > ONE_GROUP_MOST;
+	if (is_single_group(m))
+		return tr_membership_size(m) > SINGLE_GROUP_MAX;
 	if (!*node->data_centre)
 		return false;
 	if (!first)
 		return true;
 	for (unsigned i = 0; i < m->groups_count; i++)
 		parts += !strcmp(m->groups[i].data_centre, node->data_centre);
-	return ++first->count > parts * GROUP_MOST;
+	return ++first->count > parts * GROUP_MAX;
 }
 
 /*
- * A VM has been learned, or its data centre. Only where it makes a group too
- * large, or the fleet, are all formed anew: a VM that has just started learns
- * thousands.
+ * Places a VM whose address or data centre was just learned. The groups are
+ * only rebuilt if its group or the fleet becomes too large, since a VM that has
+ * just started learns of thousands of others.
  */
 void tr_groups_add_node(struct tr_membership *m, struct tr_node *node)
 {
 	m->near_count -= node->near;
 	node->near = false;
-	if (outgrows(m, node))
+	if (needs_rebuild(m, node))
 		tr_groups_rebuild(m);
 	else
-		place_node(m, node);
+		assign_node(m, node);
 }
 
 /*
- * Count the VMs that live, by group, when it is time. True when another set of
- * groups lives than before, so that targets change their homes.
+ * Counts the VMs of each group that are alive, at most every COUNT_INTERVAL.
+ * Returns true if other groups than before have VMs that are alive, so that the
+ * homes of targets change.
  */
 bool tr_groups_count_alive(struct tr_membership *m, apr_time_t now)
 {
 	bool changed = false;
 
-	if (m->counted_at && now - m->counted_at < COUNT_EVERY)
+	if (m->counted_at && now - m->counted_at < COUNT_INTERVAL)
 		return false;
 	for (unsigned i = 0; i < m->groups_count; i++) {
 		m->groups[i].alive_before = m->groups[i].alive;
@@ -214,8 +223,8 @@
 }
 
 /*
- * The group that answers for the target: one of its own data centre, or while
- * none of that lives, any that does.
+ * Returns the index of the target's home group: one of the target's own data
+ * centre, or if none of its VMs is alive, any group with VMs that are.
  */
 uint16_t tr_groups_home(const struct tr_membership *m, const char *data_centre,
 			uint32_t target)
@@ -224,8 +233,8 @@
 
 	if (m->groups_count == 1)
 		return 0;
-	home = draw_part(m, data_centre, target, true);
+	home = choose_group(m, data_centre, target, true);
 	if (home == TR_NO_GROUP)
-		home = draw_part(m, NULL, target, true);
+		home = choose_group(m, NULL, target, true);
 	return home == TR_NO_GROUP ? m->nodes[0].group : home;
 }
--- a/lib/group.h
+++ b/lib/group.h
@@ -1,6 +1,7 @@
 #ifndef TR_GROUP_H
 #define TR_GROUP_H
 
+/* Divides the VMs of a fleet into groups and finds the home of each target. */
 #include "membership.h"
 
 void tr_groups_rebuild(struct tr_membership *m);
