--- a/lib/roster.c
+++ b/lib/roster.c
@@ -1,3 +1,7 @@
+/*
+ * The targets that the platform lists, and what this VM and its peers observed
+ * of each.
+ */
 #include "roster.h"
 
 #include <stdlib.h>
@@ -6,31 +10,34 @@
 #include "clock.h"
 #include "hash.h"
 
-/* The list counts as interrupted when it was not current for so long; readers
- * pace themselves at a third of a second, so that is three that failed. */
-#define INTERRUPTED TR_MSEC(1000)
-/* Entries that expired during an interruption are registered again within
- * about two seconds of its end (the platform's promise); an entry that is
- * missing then is gone. A little less, so that the last request is through. */
-#define LAPSE_GRACE TR_MSEC(1700)
-/* What a message between two VMs takes at most in ordinary times: a way of some
- * milliseconds, and the turn of a loop that is busy with callers. */
-#define HOP_MOST TR_MSEC(30)
-/* Rows of targets that are gone keep older news from bringing them back. */
-#define TOMBSTONE_KEEP TR_SEC(60)
-/* Rows and services are not made beyond this many, half as much again as the
- * plan's 69,000 targets and 2,900 services: entries that another writer floods
- * the store with must not take the memory of callers' requests. */
-#define ROWS_MOST     100000
-#define SERVICES_MOST 4096
-/* How long another group's word on work in progress counts: some summaries, or
- * the time that work takes. */
-#define TOLD_HOLDS TR_MSEC(1500)
-/* How often all rows are looked at: a tenth of the shortest span above. */
-#define STEP_EVERY TR_MSEC(100)
-/* How often the share of gray targets is looked at: evidence fades in seconds.
+/* The list counts as interrupted if it was not confirmed for this long. Readers
+ * ask the store three times a second, so that three reads have failed by then.
  */
-#define LEARN_EVERY TR_MSEC(200)
+#define INTERRUPTION_MIN TR_MSEC(1000)
+/* The platform promises that entries which expired during an interruption are
+ * registered again within about two seconds of its end; an entry that is still
+ * missing then is gone. A little less than that, so that the last request ends
+ * in time. */
+#define LAPSE_GRACE TR_MSEC(1700)
+/* The longest usual delay of a message between two VMs: some milliseconds on
+ * the network and one turn of an event loop that is busy with callers. */
+#define MAX_MESSAGE_DELAY TR_MSEC(30)
+/* How long the row of a target that is gone is kept, so that older records
+ * don't bring the target back. */
+#define TOMBSTONE_TTL TR_SEC(60)
+/* The most rows and services, half as many again as the plan's 69,000 targets
+ * and 2,900 services: entries with which another writer floods the store must
+ * not use up the memory for callers' requests. */
+#define MAX_ROWS     100000
+#define MAX_SERVICES 4096
+/* How long another group's report of requests in flight is valid: a few report
+ * intervals, or the time that a request takes. */
+#define REPORT_TTL TR_MSEC(1500)
+/* How often all rows are checked: a tenth of the shortest time above. */
+#define STEP_INTERVAL TR_MSEC(100)
+/* How often the share of gray targets is updated: evidence decays within
+ * seconds. */
+#define LEARN_INTERVAL TR_MSEC(200)
 
 void tr_roster_release(struct tr_roster *roster)
 {
@@ -50,7 +57,7 @@
 	return false;
 }
 
-/* The service's place, made when the name is new. */
+/* Returns the index of the service, and adds it if the name is new. */
 uint32_t tr_roster_service(struct tr_roster *roster, const char *name)
 {
 	struct tr_service_stats *grown;
@@ -73,14 +80,14 @@
 	return (uint32_t)tr_hash_string(id);
 }
 
-static uint32_t place_of(const struct tr_roster *roster,
-			 const struct tr_instance *row)
+static uint32_t row_index(const struct tr_roster *roster,
+			  const struct tr_instance *row)
 {
 	return (uint32_t)(row - roster->rows);
 }
 
-/* The row of the id's latest start, or NULL. */
-static struct tr_instance *find(struct tr_roster *roster, const char *id)
+/* Returns the row of the latest start of the target, or NULL. */
+static struct tr_instance *find_latest(struct tr_roster *roster, const char *id)
 {
 	uint32_t at;
 	uint32_t i = tr_index_first(&roster->by_id, id_key(id), &at);
@@ -90,14 +97,16 @@
 	return i == TR_NO_ROW ? NULL : &roster->rows[i];
 }
 
-/* The name under which VMs tell each other of this start of the target. */
-static uint32_t life_hash(const struct tr_target_record *record)
+/* Returns the hash by which VMs refer to this start of the target. */
+static uint32_t instance_hash(const struct tr_target_record *record)
 {
 	uint64_t h = tr_hash_string(record->id);
 
 	return (uint32_t)(record->born ? tr_hash_pair(h, record->born) : h);
 }
 
+/* Returns a cleared row: a free one without requests in flight, or a new one.
+ */
 static struct tr_instance *new_row(struct tr_roster *roster)
 {
 	struct tr_instance *grown;
@@ -105,32 +114,37 @@
 	for (unsigned i = 0; i < roster->count; i++)
 		if (!roster->rows[i].used && !roster->rows[i].in_flight)
 			return memset(&roster->rows[i], 0, sizeof(*grown));
-	if (roster->count == roster->room) {
-		unsigned room = roster->room ? roster->room * 2 : 32;
+	if (roster->count == roster->capacity) {
+		unsigned capacity =
+			roster->capacity ? roster->capacity * 2 : 32;
 
-		grown = realloc(roster->rows, room * sizeof(*grown));
+		grown = realloc(roster->rows, capacity * sizeof(*grown));
 		if (!grown)
 			abort();
 		roster->rows = grown;
-		roster->room = room;
+		roster->capacity = capacity;
 	}
 	return memset(&roster->rows[roster->count++], 0, sizeof(*grown));
 }
 
-/* After an interruption, entries may be missing of targets that live. */
-static bool may_have_lapsed(const struct tr_roster *roster, apr_time_t now)
+/* Tells whether an interruption of the list ended so lately that entries of
+ * running targets may be missing. */
+static bool in_registration_grace(const struct tr_roster *roster,
+				  apr_time_t now)
 {
-	return roster->returned_at && now - roster->returned_at < LAPSE_GRACE;
+	return roster->resumed_at && now - roster->resumed_at < LAPSE_GRACE;
 }
 
-static void set_gone(struct tr_roster *roster, struct tr_instance *row,
-		     apr_time_t now)
+/* Removes a target that is no longer listed: at once, or after a grace period
+ * if the list was interrupted lately and the target may only have lapsed. */
+static void mark_gone_or_lapsed(struct tr_roster *roster,
+				struct tr_instance *row, apr_time_t now)
 {
 	if (row->gone || row->lapsed_at)
 		return;
-	if (may_have_lapsed(roster, now) && !row->leaving &&
+	if (in_registration_grace(roster, now) && !row->leaving &&
 	    !row->says_leaving) {
-		row->lapsed_at = roster->returned_at;
+		row->lapsed_at = roster->resumed_at;
 		row->changed_at = now;
 		return;
 	}
@@ -139,8 +153,8 @@
 	row->changed_at = now;
 }
 
-static void fill(struct tr_roster *roster, struct tr_instance *row,
-		 const struct tr_target_record *record, apr_time_t now)
+static void apply_record(struct tr_roster *roster, struct tr_instance *row,
+			 const struct tr_target_record *record, apr_time_t now)
 {
 	row->gone = false;
 	row->lapsed_at = 0;
@@ -158,23 +172,23 @@
 	row->cold_until = record->cold_for ? now + record->cold_for : 0;
 }
 
-/* Can a row be made for what the record says? */
-static bool has_room(const struct tr_roster *roster,
-		     const struct tr_target_record *record)
+/* Tells whether a row can be added for the record. */
+static bool can_add(const struct tr_roster *roster,
+		    const struct tr_target_record *record)
 {
-	if (roster->count >= ROWS_MOST)
+	if (roster->count >= MAX_ROWS)
 		return false;
-	return roster->services_count < SERVICES_MOST ||
+	return roster->services_count < MAX_SERVICES ||
 	       has_service(roster, record->service);
 }
 
-/* A row of its own for this start of the target, of which nothing is known. */
-static bool add(struct tr_roster *roster, const struct tr_target_record *record,
-		apr_time_t now)
+/* Adds a row for this start of the target, with no evidence on it. */
+static bool add_row(struct tr_roster *roster,
+		    const struct tr_target_record *record, apr_time_t now)
 {
 	struct tr_instance *row;
 
-	if (!has_room(roster, record))
+	if (!can_add(roster, record))
 		return false;
 	roster->digest_known = false;
 	row = new_row(roster);
@@ -184,21 +198,21 @@
 	row->limit = TR_NO_ROW;
 	memcpy(row->id, record->id, sizeof(row->id));
 	row->born = record->born;
-	row->hash = life_hash(record);
-	tr_index_add(&roster->by_id, id_key(row->id), place_of(roster, row));
-	tr_index_add(&roster->by_hash, row->hash, place_of(roster, row));
+	row->hash = instance_hash(record);
+	tr_index_add(&roster->by_id, id_key(row->id), row_index(roster, row));
+	tr_index_add(&roster->by_hash, row->hash, row_index(roster, row));
 	row->revision = record->revision;
 	if (record->gone) {
 		row->gone = true;
 		row->gone_at = now;
 		return false;
 	}
-	fill(roster, row, record, now);
+	apply_record(roster, row, record, now);
 	row->changed_at = now;
 	return true;
 }
 
-static void set_gone_at_once(struct tr_instance *row, apr_time_t now)
+static void set_gone(struct tr_instance *row, apr_time_t now)
 {
 	row->lapsed_at = 0;
 	row->changed_at = now;
@@ -209,40 +223,41 @@
 }
 
 /*
- * The target has started again under its id: a new process, which knows nothing
- * of what the earlier one was sent. The row of the earlier start only waits for
- * the ends of the requests that were sent to it. One would notice a row that is
- * kept by a target that is held to be gray, cold or full for what its earlier
- * process did.
+ * Retires the row of an earlier start of a target that has started again under
+ * the same id. The new process knows nothing of the requests sent to the
+ * earlier one, which keeps its row only until these have ended. With a shared
+ * row the new process would count as gray, cold or full for what the earlier
+ * one did.
  */
 static void supersede(struct tr_roster *roster, struct tr_instance *row,
 		      apr_time_t now)
 {
-	set_gone_at_once(row, now);
+	set_gone(row, now);
 	roster->digest_known = false;
-	tr_index_remove(&roster->by_id, id_key(row->id), place_of(roster, row));
+	tr_index_remove(&roster->by_id, id_key(row->id),
+			row_index(roster, row));
 	row->superseded = true;
 	row->changed_at = 0;
 }
 
 /*
- * An entry that names no target, since another writer's value stands there or
- * one that can't be read: what was known under the id is no longer listed.
+ * Handles an entry that is unreadable or was written by another writer: the
+ * target known under its id is no longer listed.
  */
 void tr_roster_reject_entry(struct tr_roster *roster, const char *id,
 			    uint64_t revision, apr_time_t now)
 {
-	struct tr_instance *row = find(roster, id);
+	struct tr_instance *row = find_latest(roster, id);
 
 	if (!row || revision <= row->revision)
 		return;
 	row->revision = revision;
 	roster->digest_known = false;
-	set_gone_at_once(row, now);
+	set_gone(row, now);
 }
 
-static bool update(struct tr_roster *roster, struct tr_instance *row,
-		   const struct tr_target_record *record, apr_time_t now)
+static bool update_row(struct tr_roster *roster, struct tr_instance *row,
+		       const struct tr_target_record *record, apr_time_t now)
 {
 	bool changed;
 
@@ -250,14 +265,14 @@
 	if (record->gone) {
 		changed = !row->gone && !row->lapsed_at;
 		roster->digest_known &= !changed;
-		set_gone(roster, row, now);
+		mark_gone_or_lapsed(roster, row, now);
 		return changed;
 	}
 	changed = row->gone || row->lapsed_at ||
 		  row->leaving != record->leaving ||
 		  row->slots != record->slots ||
 		  strcmp(row->address, record->address) != 0;
-	fill(roster, row, record, now);
+	apply_record(roster, row, record, now);
 	roster->digest_known &= !changed;
 	if (changed)
 		row->changed_at = now;
@@ -265,24 +280,24 @@
 }
 
 /*
- * Take in what is said of one target; of two sayings the larger revision
- * holds, whoever tells it and in whatever order, and of two starts the later
- * one: what an earlier process wrote and the store took in late says nothing
- * of the one that runs. An id whose target has told when it started always
- * does; without it the entry is another writer's. True when it changes what
- * this VM does.
+ * Applies a record of one target. Of two records the one with the larger
+ * revision wins, whoever sends it and in whatever order. Of two starts the
+ * later one wins, since a write of an earlier process that the store applied
+ * late says nothing of the one that runs. A target that has reported its start
+ * time always does, so a record of its id without one comes from another
+ * writer. Returns true if this changes what the VM does.
  */
 bool tr_roster_apply(struct tr_roster *roster,
 		     const struct tr_target_record *record, apr_time_t now)
 {
-	struct tr_instance *row = find(roster, record->id);
+	struct tr_instance *row = find_latest(roster, record->id);
 
 	if (!row)
-		return add(roster, record, now);
+		return add_row(roster, record, now);
 	if (record->revision <= row->revision)
 		return false;
 	if (record->gone || record->born == row->born)
-		return update(roster, row, record, now);
+		return update_row(roster, row, record, now);
 	if (!record->born) {
 		tr_roster_reject_entry(roster, record->id, record->revision,
 				       now);
@@ -291,10 +306,11 @@
 	if (record->born < row->born)
 		return false;
 	supersede(roster, row, now);
-	return add(roster, record, now);
+	return add_row(roster, record, now);
 }
 
-/* A whole list as of a revision: what is not on it, and not newer, is gone. */
+/* Removes the targets that are missing from a complete list. as_of is the
+ * revision of the list; targets with a newer revision stay. */
 void tr_roster_drop_unlisted(struct tr_roster *roster,
 			     const struct tr_target_record *records,
 			     unsigned count, uint64_t as_of, apr_time_t now)
@@ -302,7 +318,7 @@
 	roster->digest_known = false;
 	roster->list_mark++;
 	for (unsigned k = 0; k < count; k++) {
-		struct tr_instance *row = find(roster, records[k].id);
+		struct tr_instance *row = find_latest(roster, records[k].id);
 
 		if (row)
 			row->list_mark = roster->list_mark;
@@ -313,46 +329,47 @@
 		if (row->used && !row->gone && !row->superseded &&
 		    row->revision <= as_of &&
 		    row->list_mark != roster->list_mark)
-			set_gone(roster, row, now);
+			mark_gone_or_lapsed(roster, row, now);
 	}
 }
 
-/* The list was whole and current, as of a revision, so long ago. */
+/* Records that the list was complete and current, as of a revision, age ago. */
 void tr_roster_confirm(struct tr_roster *roster, uint64_t as_of, apr_time_t age,
 		       apr_time_t now)
 {
 	apr_time_t at = now - age;
 
-	/* An answer of the store may be newer than what was vouched for since
-	 * it was asked for: else its reader asks for the same changes again,
-	 * and tells the others of a revision that they have. */
+	/* The store's answer may be newer than a confirmation that came after
+	 * the request was sent. Without this its reader would fetch the same
+	 * changes again and announce a revision that the other VMs have. */
 	if (as_of > roster->as_of)
 		roster->as_of = as_of;
 	if (at <= roster->confirmed_at)
 		return;
-	if (roster->confirmed_at && at - roster->confirmed_at > INTERRUPTED)
-		roster->returned_at = now;
+	if (roster->confirmed_at &&
+	    at - roster->confirmed_at > INTERRUPTION_MIN)
+		roster->resumed_at = now;
 	roster->confirmed_at = at;
 }
 
 /*
- * Another VM with the same list told how old it is; the way of that is counted
- * as the longest that it usually takes. Without it VMs kept each other's lists
- * young: each took over the least age that it was told, a few milliseconds
- * late, and told it on. With 100 VMs a list that nobody had read for three
- * seconds was held to be 45 ms old, so that nobody stepped in for the readers,
- * and targets that had left went on getting requests.
+ * Records that another VM has the same list, and how old its list was. The
+ * longest usual delay of a message is added to that age. Without it VMs kept
+ * each other's lists young: each adopted the least age it was sent, a few
+ * milliseconds late, and passed it on. With 100 VMs a list that nobody had read
+ * for three seconds counted as 45 ms old, so that no VM took over from the
+ * readers, and targets that had left still got requests.
  */
 void tr_roster_confirm_from_peer(struct tr_roster *roster, uint64_t as_of,
 				 apr_time_t reported_age, apr_time_t now)
 {
-	tr_roster_confirm(roster, as_of, reported_age + HOP_MOST, now);
+	tr_roster_confirm(roster, as_of, reported_age + MAX_MESSAGE_DELAY, now);
 }
 
-/* The mean chance of being gray over the service's targets, or a negative
- * number when it has none. */
-static double mean_chance(const struct tr_roster *roster, uint32_t service,
-			  apr_time_t now)
+/* Returns the mean probability of being gray over the service's targets, or a
+ * negative number if it has none. */
+static double mean_gray_probability(const struct tr_roster *roster,
+				    uint32_t service, apr_time_t now)
 {
 	double sum = 0;
 	unsigned n = 0;
@@ -370,29 +387,31 @@
 }
 
 /*
- * Learn which share of each service's targets is gray: what a target that
- * nobody has used for a while is to be held for. With three in ten gray and a
- * fixed chance of 0.06 such targets were given requests that must run once.
+ * Learns the share of gray targets of each service, which is the prior for
+ * targets that nobody has used for a while. With a fixed prior of 0.06 and
+ * three in ten targets gray, such targets were given requests that must run
+ * once.
  */
 static void learn_shares(struct tr_roster *roster, apr_time_t now)
 {
-	apr_time_t passed = now - roster->learned_at;
+	apr_time_t elapsed = now - roster->learned_at;
 
-	if (passed < LEARN_EVERY)
+	if (elapsed < LEARN_INTERVAL)
 		return;
 	for (unsigned s = 0; roster->learned_at && s < roster->services_count;
 	     s++) {
-		double share = mean_chance(roster, s, now);
+		double share = mean_gray_probability(roster, s, now);
 
 		if (share >= 0)
-			tr_service_stats_learn_gray_share(&roster->services[s],
-							  share,
-							  (double)passed / 1e6);
+			tr_service_stats_learn_gray_share(
+				&roster->services[s], share,
+				(double)elapsed / 1e6);
 	}
 	for (unsigned i = 0; i < roster->count; i++) {
 		struct tr_instance *row = &roster->rows[i];
 
-		/* A row that was gone when it was first heard of has none. */
+		/* A row whose first record said that it is gone has no service.
+		 */
 		if (row->service < roster->services_count)
 			row->gray.prior =
 				roster->services[row->service].gray_share;
@@ -400,9 +419,9 @@
 	roster->learned_at = now;
 }
 
-static void forget(struct tr_roster *roster, struct tr_instance *row)
+static void free_row(struct tr_roster *roster, struct tr_instance *row)
 {
-	uint32_t i = place_of(roster, row);
+	uint32_t i = row_index(roster, row);
 
 	tr_index_remove(&roster->by_id, id_key(row->id), i);
 	tr_index_remove(&roster->by_hash, row->hash, i);
@@ -412,7 +431,8 @@
 	row->used = false;
 }
 
-/* Another group's target, of whose limit that group has fallen silent. */
+/* Forgets the limit of another group's target when that group no longer reports
+ * it. */
 static void drop_stale_limit(struct tr_roster *roster, struct tr_instance *row,
 			     apr_time_t now)
 {
@@ -422,10 +442,11 @@
 		tr_send_limits_forget(&roster->limits, row->limit);
 }
 
-/* Let lapsed targets go when their time is over, and forget old ones. */
+/* Removes lapsed targets at the end of their grace period, and frees the rows
+ * of those that have been gone for long enough. */
 void tr_roster_step(struct tr_roster *roster, apr_time_t now)
 {
-	if (now - roster->stepped_at < STEP_EVERY)
+	if (now - roster->stepped_at < STEP_INTERVAL)
 		return;
 	roster->stepped_at = now;
 	learn_shares(roster, now);
@@ -441,13 +462,13 @@
 			row->gone = true;
 			row->gone_at = now;
 		}
-		if (row->gone && now - row->gone_at > TOMBSTONE_KEEP &&
+		if (row->gone && now - row->gone_at > TOMBSTONE_TTL &&
 		    !row->in_flight)
-			forget(roster, row);
+			free_row(roster, row);
 	}
 }
 
-static uint64_t make_digest(const struct tr_roster *roster)
+static uint64_t compute_digest(const struct tr_roster *roster)
 {
 	uint64_t sum = 0;
 
@@ -466,14 +487,14 @@
 }
 
 /*
- * Equal on VMs that hold the same list, whatever the order it came in. Made
- * when the list has changed and not at each message: before 183 targets that
- * was most of what a message cost.
+ * Returns a digest of the list that is equal on VMs with the same list, in
+ * whatever order it was received. It is cached until the list changes:
+ * computing it for each message was most of a message's cost with 183 targets.
  */
 uint64_t tr_roster_digest(struct tr_roster *roster)
 {
 	if (!roster->digest_known)
-		roster->digest = make_digest(roster);
+		roster->digest = compute_digest(roster);
 	roster->digest_known = true;
 	return roster->digest;
 }
@@ -486,7 +507,7 @@
 	return i == TR_NO_ROW ? NULL : &roster->rows[i];
 }
 
-/* What this VM would tell another of the target. */
+/* Fills in the record that this VM would send to another one. */
 void tr_roster_export_record(const struct tr_roster *roster,
 			     const struct tr_instance *row,
 			     struct tr_target_record *record, apr_time_t now)
@@ -507,7 +528,7 @@
 	record->born = row->born;
 }
 
-/* The limit that the target has named and that holds, or NULL. */
+/* Returns the limit that the target has set and that is in force, or NULL. */
 struct tr_send_limit *tr_roster_limit(const struct tr_roster *roster,
 				      const struct tr_instance *row)
 {
@@ -519,7 +540,8 @@
 	return l->holds ? l : NULL;
 }
 
-/* The place of the target's row among the limits, made when it has none. */
+/* Returns the index of the target's row among the limits, and adds it if there
+ * is none. */
 uint32_t tr_roster_limit_index(struct tr_roster *roster,
 			       struct tr_instance *row)
 {
@@ -528,7 +550,8 @@
 	return row->limit;
 }
 
-/* The target has said in an answer that it leaves; true when that is news. */
+/* Records that the target announced in an answer that it is leaving. Returns
+ * true if it had not done so before. */
 bool tr_roster_mark_leaving(struct tr_roster *roster, struct tr_instance *row)
 {
 	if (row->says_leaving)
@@ -538,35 +561,37 @@
 	return true;
 }
 
-/* Does the target serve, though it may want rest from this VM? */
+/* Tells whether the target serves requests, though it may have asked this VM to
+ * back off. */
 bool tr_instance_serves(const struct tr_instance *row, apr_time_t now)
 {
 	return row->used && !row->gone && !row->leaving && !row->says_leaving &&
 	       row->unreachable_until <= now;
 }
 
-/* May the target be given new work? */
+/* Tells whether the target may be sent new requests. */
 bool tr_instance_usable(const struct tr_instance *row, apr_time_t now)
 {
 	return tr_instance_serves(row, now) && row->backoff_until <= now;
 }
 
 /*
- * How many requests are at the target, as far as this VM knows: those of its
- * own group, or what the target's own group told last if that is more. Both are
- * not added, since the latter count this group's too.
+ * Returns how many requests are in flight at the target, as far as this VM
+ * knows: those of its own group, or what the target's home group last reported
+ * if that is more. They are not added, since the report includes this group's
+ * requests.
  */
 uint32_t tr_instance_in_flight(const struct tr_instance *row, apr_time_t now)
 {
 	uint32_t in_flight = row->in_flight + row->others_in_flight;
 
 	if (row->away && row->reported_in_flight > in_flight &&
-	    now - row->reported_at < TOLD_HOLDS)
+	    now - row->reported_at < REPORT_TTL)
 		return row->reported_in_flight;
 	return in_flight;
 }
 
-/* This VM has something new to tell of the target. */
+/* Marks the target's state as changed, to be sent to other VMs. */
 void tr_roster_mark_dirty(struct tr_roster *roster, struct tr_instance *row)
 {
 	row->dirty = true;
@@ -574,20 +599,20 @@
 	roster->away_changed |= row->away;
 }
 
-/* The target's own group told what it knows of it. */
-void tr_roster_apply_report(struct tr_instance *row, double risk,
+/* Applies a report of the target's home group. */
+void tr_roster_apply_report(struct tr_instance *row, double gray_probability,
 			    unsigned in_flight, apr_time_t now)
 {
 	row->reported_in_flight =
 		(uint16_t)(in_flight < UINT16_MAX ? in_flight : UINT16_MAX);
 	row->reported_at = now;
-	tr_gray_set_probability(&row->gray, risk, now);
+	tr_gray_set_probability(&row->gray, gray_probability, now);
 }
 
 /*
- * Has the newest request at the target been answered, and one that was sent
- * after the last that hangs? What is still in flight then says nothing of how
- * the target is now.
+ * Tells whether the newest request at the target was answered, and one that was
+ * sent after the last request that hangs. Requests that are still in flight
+ * then say nothing about the target's present state.
  */
 bool tr_instance_answered_since_hang(const struct tr_instance *row)
 {
@@ -595,43 +620,44 @@
 	       row->answered_sent_at > row->hung_at;
 }
 
-static void set_latest(apr_time_t *at, apr_time_t then)
+static void advance(apr_time_t *at, apr_time_t then)
 {
 	if (then > *at)
 		*at = then;
 }
 
 /*
- * Take in an outcome at a target, of whichever VM. A request that is overdue
- * failed when it was sent, as far as that can be known.
+ * Adds an outcome of a request at the target, from whichever VM. A request that
+ * is overdue counts as failed at the time it was sent, as far as that is known.
  */
 void tr_roster_add_outcome(struct tr_roster *roster, struct tr_instance *row,
 			   enum tr_symptom symptom, unsigned times,
 			   apr_time_t now)
 {
 	const struct tr_worktime *takes = &roster->services[row->service].takes;
-	apr_time_t usual = tr_worktime_mean(takes, 0);
+	apr_time_t mean_time = tr_worktime_mean(takes, 0);
 	apr_time_t sent_at;
 
 	tr_gray_add(&row->gray, symptom, times, now);
 	tr_service_stats_add_outcomes(&roster->services[row->service], symptom,
 				      times, now);
 	if (symptom == TR_SYMPTOM_OVERDUE) {
-		sent_at = now - tr_gray_stage_start(TR_STAGE_OVERDUE, usual,
+		sent_at = now - tr_gray_stage_start(TR_STAGE_OVERDUE, mean_time,
 						    tr_worktime_spread(takes));
-		set_latest(&row->hung_at, sent_at);
-		set_latest(&row->failed_at, sent_at);
+		advance(&row->hung_at, sent_at);
+		advance(&row->failed_at, sent_at);
 	} else if (symptom == TR_SYMPTOM_FAILED) {
-		set_latest(&row->hung_at, now);
-		set_latest(&row->failed_at, now);
+		advance(&row->hung_at, now);
+		advance(&row->failed_at, now);
 	} else if (tr_symptom_ends_request(symptom) &&
 		   symptom != TR_SYMPTOM_ANSWERED_OVERDUE) {
-		set_latest(&row->answered_at, now);
-		set_latest(&row->answered_sent_at, now - usual);
+		advance(&row->answered_at, now);
+		advance(&row->answered_sent_at, now - mean_time);
 	}
 }
 
-/* A request that was overdue at the target has ended without an answer. */
+/* Records that a request that was overdue at the target has ended without an
+ * answer. */
 void tr_roster_end_hang(struct tr_instance *row, apr_time_t now)
 {
 	if (!tr_instance_answered_since_hang(row))
--- a/lib/roster.h
+++ b/lib/roster.h
@@ -1,6 +1,9 @@
 #ifndef TR_ROSTER_H
 #define TR_ROSTER_H
 
+/*
+ * The roster: all targets that the platform lists, with what is known of each.
+ */
 #include <apr_time.h>
 #include <stdbool.h>
 #include <stdint.h>
@@ -12,57 +15,49 @@
 
 #define TR_ADDRESS_MAX 23
 
-/*
- * What the platform says of one target, as it is passed between VMs. born is
- * when the target started, in ms of Unix time, or 0 where that is not told.
- */
+/* What the platform lists of one target, as VMs send it to each other. */
 struct tr_target_record {
 	char id[TR_ID_MAX + 1];
 	char service[TR_ID_MAX + 1];
 	char address[TR_ADDRESS_MAX + 1];
 	char data_centre[TR_ID_MAX + 1];
+	/* Requests that it serves at a time. */
 	uint32_t slots;
 	bool leaving;
 	bool gone;
+	/* Time until it has warmed up, in us. */
 	apr_time_t cold_for;
 	uint64_t revision;
+	/* When it started, in ms of Unix time; 0 if not reported. */
 	uint64_t born;
 };
 
-/*
- * One start of a target: a row of the roster, found by its place. superseded:
- * the target has started again under the same id, in another row. away: another
- * group of VMs is nearest to it; what this VM knows of it is that group's last
- * summary and its own group's requests there, and reported_in_flight is what
- * the summary said of work in progress. kept counts this VM's connections to it
- * that rest. limit is the place of its row among the limits that targets have
- * named, TR_NO_ROW for none; says_leaving and backoff_until are what else it
- * said of itself in its answers. Unlike leaving, which is the platform's word,
- * says_leaving holds until the target's end. used_at: when the newest request
- * was sent there; answered_at: when an answer last came, to one that was sent
- * at about answered_sent_at; hung_at: when the newest request that is overdue
- * or failed was sent, at the latest; failed_at: when a request there last
- * turned out to have failed, or ended. dirty: something is new to be told of
- * it; report_again: the end of this VM's last request there was told once.
- */
+/* One start of a target, a row of the roster. Times are of the steady clock. */
 struct tr_instance {
 	bool used;
+	/* Its home is another group of VMs. What this VM knows of it is that
+	 * group's last report and its own group's requests there. */
 	bool away;
+	/* Its home group, and the generation of groups for which it holds. */
 	uint16_t home;
 	uint32_t home_generation;
+	/* Requests in flight by the home group's last report, and its time. */
 	uint16_t reported_in_flight;
 	apr_time_t reported_at;
 	uint32_t list_mark;
 	bool gone;
 	bool leaving;
+	/* The target has started again under the same id, in another row. */
 	bool superseded;
 	apr_time_t gone_at;
 	apr_time_t leaving_since;
+	/* End of the interruption after which its entry was missing, or 0. */
 	apr_time_t lapsed_at;
 	apr_time_t cold_until;
 	apr_time_t known_since;
 	apr_time_t changed_at;
 	char id[TR_ID_MAX + 1];
+	/* Identifies this start of the target in messages. */
 	uint32_t hash;
 	uint32_t service;
 	char address[TR_ADDRESS_MAX + 1];
@@ -73,48 +68,62 @@
 	struct tr_gray gray;
 	apr_time_t full_until;
 	apr_time_t unreachable_until;
+	/* It announced in an answer that it is leaving. Unlike leaving, which
+	 * the platform reports, this holds until it ends. */
 	bool says_leaving;
+	/* Its row among the limits that targets have set, or TR_NO_ROW. */
 	uint32_t limit;
+	/* Until when it has asked this VM to send nothing. */
 	apr_time_t backoff_until;
 	uint32_t in_flight;
+	/* This VM's idle connections to it. */
 	uint32_t kept;
 	uint32_t others_in_flight;
+	/* When the newest request was sent there, by any VM. */
 	apr_time_t used_at;
+	/* When a request last turned out to have failed or, if it was overdue,
+	 * ended. */
 	apr_time_t failed_at;
+	/* When an answer last came, and when about its request was sent. */
 	apr_time_t answered_at;
 	apr_time_t answered_sent_at;
+	/* The latest time at which the newest overdue or failed request may
+	 * have been sent. */
 	apr_time_t hung_at;
 	struct tr_symptom_totals own;
+	/* There is news of it to send to this group, and to its home group. */
 	bool dirty;
 	bool dirty_away;
+	/* The end of this VM's last request there was sent once; it is sent
+	 * again in case that message was lost. */
 	bool report_again;
 	bool idle_logged;
 };
 
-/*
- * All targets that the platform lists. confirmed_at is when the list was last
- * known to be whole and current, by the steady clock. homes_stale: targets came
- * whose home is not known. away_changed: another group's target has something
- * new to be told. says_leaving_count counts the targets that have said that
- * they leave.
- */
 struct tr_roster {
 	struct tr_instance *rows;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
 	struct tr_index by_hash;
 	struct tr_index by_id;
 	struct tr_send_limits limits;
+	/* Targets that announced in an answer that they are leaving. */
 	unsigned says_leaving_count;
 	uint32_t list_mark;
+	/* There are targets whose home group is not known. */
 	bool homes_stale;
+	/* There is news to send of another group's targets. */
 	bool away_changed;
 	apr_time_t stepped_at;
 	struct tr_service_stats *services;
 	unsigned services_count;
+	/* The revision of the list. */
 	uint64_t as_of;
+	/* When the list was last known to be complete and current, by the
+	 * steady clock. */
 	apr_time_t confirmed_at;
-	apr_time_t returned_at;
+	/* When it was confirmed again after an interruption. */
+	apr_time_t resumed_at;
 	apr_time_t learned_at;
 	bool digest_known;
 	uint64_t digest;
@@ -141,7 +150,7 @@
 			     struct tr_target_record *record, apr_time_t now);
 void tr_roster_mark_dirty(struct tr_roster *roster, struct tr_instance *row);
 uint32_t tr_instance_in_flight(const struct tr_instance *row, apr_time_t now);
-void tr_roster_apply_report(struct tr_instance *row, double risk,
+void tr_roster_apply_report(struct tr_instance *row, double gray_probability,
 			    unsigned in_flight, apr_time_t now);
 struct tr_send_limit *tr_roster_limit(const struct tr_roster *roster,
 				      const struct tr_instance *row);
@@ -152,7 +161,7 @@
 bool tr_instance_usable(const struct tr_instance *row, apr_time_t now);
 bool tr_instance_answered_since_hang(const struct tr_instance *row);
 
-/* Outcomes of the whole fleet's requests, as far as they are told. */
+/* Outcomes of requests of the whole fleet, as far as they are reported. */
 void tr_roster_add_outcome(struct tr_roster *roster, struct tr_instance *row,
 			   enum tr_symptom symptom, unsigned times,
 			   apr_time_t now);
