--- a/lib/histogram.h
+++ b/lib/histogram.h
@@ -1,14 +1,15 @@
 #ifndef TR_HISTOGRAM_H
 #define TR_HISTOGRAM_H
 
+/* A latency histogram with fixed bounds, for exported metrics. */
 #include <apr_time.h>
 #include <stdint.h>
 
 #define TR_HISTOGRAM_BOUNDS 13
 
-/* How many requests took how long; the last bucket has no bound. All zero is a
- * beginning. */
+/* Starts all zero. */
 struct tr_histogram {
+	/* Requests per bucket; the last bucket has no upper bound. */
 	uint32_t count[TR_HISTOGRAM_BOUNDS + 1];
 	double sum_s;
 };
--- a/lib/latency.h
+++ b/lib/latency.h
@@ -1,12 +1,13 @@
 #ifndef TR_LATENCY_H
 #define TR_LATENCY_H
 
+/* A latency histogram whose older counts decay. */
 #include <apr_time.h>
 #include <stdint.h>
 
 #define TR_LATENCY_BUCKETS 96
 
-/* A histogram that forgets: six buckets per power of two, from 64 us. */
+/* Six buckets per power of two, from 64 us. Starts all zero. */
 struct tr_latency {
 	float counts[TR_LATENCY_BUCKETS];
 	float total;
