--- a/lib/roster.c
+++ b/lib/roster.c
@@ -634,16 +634,18 @@
 			   enum tr_symptom symptom, unsigned times,
 			   apr_time_t now)
 {
-	const struct tr_worktime *takes = &roster->services[row->service].takes;
-	apr_time_t mean_time = tr_worktime_mean(takes, 0);
+	const struct tr_worktime *work_time =
+		&roster->services[row->service].work_time;
+	apr_time_t mean_time = tr_worktime_mean(work_time, 0);
 	apr_time_t sent_at;
 
 	tr_gray_add(&row->gray, symptom, times, now);
 	tr_service_stats_add_outcomes(&roster->services[row->service], symptom,
 				      times, now);
 	if (symptom == TR_SYMPTOM_OVERDUE) {
-		sent_at = now - tr_gray_stage_start(TR_STAGE_OVERDUE, mean_time,
-						    tr_worktime_spread(takes));
+		sent_at = now -
+			  tr_gray_stage_start(TR_STAGE_OVERDUE, mean_time,
+					      tr_worktime_spread(work_time));
 		advance(&row->hung_at, sent_at);
 		advance(&row->failed_at, sent_at);
 	} else if (symptom == TR_SYMPTOM_FAILED) {
--- a/lib/roster.h
+++ b/lib/roster.h
@@ -38,7 +38,7 @@
 	/* Its home is another group of VMs. What this VM knows of it is that
 	 * group's last report and its own group's requests there. */
 	bool away;
-	/* Its home group, and the generation of groups for which it holds. */
+	/* Its home group, and the generation of groups it was found in. */
 	uint16_t home;
 	uint32_t home_generation;
 	/* Requests in flight by the home group's last report, and its time. */
--- a/lib/service_stats.c
+++ b/lib/service_stats.c
@@ -1,157 +1,173 @@
-/* What the work of a service has been like, as this VM and its peers saw it. */
+/* Statistics of a service's requests, as this VM and its peers observed them.
+ */
 #include "service_stats.h"
 #include "mechanism.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Before the first answers the usual time is taken as this share of the aim. */
-#define FIRST_GUESS 4
-/* The spread of a service of which nothing is learned. */
-#define ANY_SPREAD 0.7
-/* Before the first failures they are taken to show at this share of the aim: as
- * late as a hang does. */
-#define FIRST_FAIL_AGE 2
-/* Weight of the newest failure's age: the mean over some two dozen. */
-#define FAIL_AGE_WEIGHT 0.04
-/* Span of the recent outcomes: that of the windows in which operators look at
- * how much of a service works. */
-#define LATELY_S 2.0
-/* A queue that is longer than the aim for so many aims is no burst: what it
- * holds up is answered late, and it would not be shorter for it. */
-#define BURST_AIMS 1
-#define BURST_REST 4
-/* The share of gray targets settles over about so long, a spell or two, within
- * these bounds: below the least, a first failure would say too little, above
- * the most nothing would be told apart. */
-#define GRAY_S	   8.0
-#define GRAY_FIRST 0.06
-#define GRAY_LEAST 0.03
-#define GRAY_MOST  0.4
-
-/* Begin with nothing known. */
+/* Before the first answers the mean response time is taken to be the target
+ * latency divided by this. */
+#define INITIAL_MEAN_DIVISOR 4
+/* The spread of every service when spreads are not learned. */
+#define DEFAULT_SPREAD 0.7
+/* Before the first failures their age is taken to be the target latency divided
+ * by this, which is as late as a hang is detected. */
+#define INITIAL_FAILURE_AGE_DIVISOR 2
+/* Weight of the newest failure's age: the mean covers some two dozen. */
+#define FAILURE_AGE_WEIGHT 0.04
+/* Time constant, in seconds, of the recent outcomes: the window in which
+ * operators check how many targets of a service are in use. */
+#define RECENT_S 2.0
+/* A queue that exceeds the target latency for BURST_LATENCIES times that
+ * latency is no burst: the requests that it delays are late in any case, and
+ * answering some sooner would not shorten it. It has to be within the target
+ * latency for QUEUE_GONE_FACTOR times as long to count as gone. */
+#define BURST_LATENCIES	  1
+#define QUEUE_GONE_FACTOR 4
+/* Time constant, in seconds, of the share of gray targets: a spell or two.
+ * Below the lower bound a first failure would add too little evidence; above
+ * the upper bound gray and healthy targets could not be told apart. */
+#define GRAY_SHARE_S	   8.0
+#define GRAY_SHARE_INITIAL 0.06
+#define GRAY_SHARE_MIN	   0.03
+#define GRAY_SHARE_MAX	   0.4
+
+/* Initialises the statistics of a service without observations. */
 void tr_service_stats_init(struct tr_service_stats *s, const char *name)
 {
 	memset(s, 0, sizeof(*s));
 	strncpy(s->name, name, TR_ID_MAX);
-	s->gray_share = GRAY_FIRST;
+	s->gray_share = GRAY_SHARE_INITIAL;
 }
 
-/* What is left now of the outcomes that were counted at the last one. */
-static double lately_kept(const struct tr_service_stats *s, apr_time_t now)
+/* Returns the factor by which the recent outcomes have decayed. */
+static double recent_decay(const struct tr_service_stats *s, apr_time_t now)
 {
-	return exp(-(double)(now - s->lately_at) / 1e6 / LATELY_S);
+	return exp(-(double)(now - s->recent_at) / 1e6 / RECENT_S);
 }
 
-/* So many requests of the service have come to that, at whichever VM. */
+/* Adds outcomes of the service's requests, from whichever VM. */
 void tr_service_stats_add_outcomes(struct tr_service_stats *s,
 				   enum tr_symptom symptom, unsigned times,
 				   apr_time_t now)
 {
-	double keep = lately_kept(s, now);
+	double keep = recent_decay(s, now);
 
-	s->lately_good *= keep;
-	s->lately_bad *= keep;
-	s->lately_at = now;
+	s->recent_successes *= keep;
+	s->recent_failures *= keep;
+	s->recent_at = now;
 	if (symptom == TR_SYMPTOM_OVERDUE || symptom == TR_SYMPTOM_FAILED)
-		s->lately_bad += times;
+		s->recent_failures += times;
 	else if (tr_symptom_ends_request(symptom))
-		s->lately_good += times;
+		s->recent_successes += times;
 }
 
-/* How many of the service's requests came to an end lately. */
+/* Returns how many of the service's requests ended lately. */
 double tr_service_stats_recent_outcomes(const struct tr_service_stats *s,
 					apr_time_t now)
 {
-	return (s->lately_bad + s->lately_good) * lately_kept(s, now);
+	return (s->recent_failures + s->recent_successes) *
+	       recent_decay(s, now);
 }
 
-/* Which part of them failed. */
+/* Returns the share of the recently ended requests that failed, from 0 to 1. */
 double tr_service_stats_failure_ratio(const struct tr_service_stats *s)
 {
-	double all = s->lately_bad + s->lately_good;
+	double all = s->recent_failures + s->recent_successes;
 
-	return all > 0 ? s->lately_bad / all : 0;
+	return all > 0 ? s->recent_failures / all : 0;
 }
 
-/* An answer of the service took so long; undisturbed: by no other work, at a
- * target that is probably well. */
+/* Adds the response time of an answer, in us. uncontended: the request was not
+ * queued, and the target is probably healthy. */
 void tr_service_stats_add_answer(struct tr_service_stats *s, apr_time_t took,
-				 bool undisturbed)
+				 bool uncontended)
 {
-	tr_worktime_add(&s->takes, took);
-	if (undisturbed)
-		tr_worktime_add_uncontended(&s->takes, took);
+	tr_worktime_add(&s->work_time, took);
+	if (uncontended)
+		tr_worktime_add_uncontended(&s->work_time, took);
 }
 
-/* How long work of the service usually takes, in us. */
+/* Returns the mean response time of the service, in us. latency_aim is the
+ * service's target latency, in us, here and below. */
 apr_time_t tr_service_stats_mean_time(const struct tr_service_stats *s,
 				      apr_time_t latency_aim)
 {
-	return tr_worktime_mean(&s->takes, latency_aim / FIRST_GUESS);
+	return tr_worktime_mean(&s->work_time,
+				latency_aim / INITIAL_MEAN_DIVISOR);
 }
 
-/* How far apart its times are; see tr_worktime_spread. */
+/* Returns the spread of its response times; see tr_worktime_spread. */
 double tr_service_stats_spread(const struct tr_service_stats *s)
 {
 	if (!tr_mechanism_on(TR_MECH_SERVICE_SPREAD))
-		return ANY_SPREAD;
-	return tr_worktime_spread(&s->takes);
+		return DEFAULT_SPREAD;
+	return tr_worktime_spread(&s->work_time);
 }
 
-/* An attempt has turned out to have failed, so long after it was sent. */
+/* Adds a failed attempt, and how long after it was sent the failure was
+ * detected, in us. */
 void tr_service_stats_add_failure(struct tr_service_stats *s, apr_time_t age)
 {
-	if (s->fail_age_us <= 0)
-		s->fail_age_us = (double)age;
-	s->fail_age_us += ((double)age - s->fail_age_us) * FAIL_AGE_WEIGHT;
+	if (s->failure_age_us <= 0)
+		s->failure_age_us = (double)age;
+	s->failure_age_us +=
+		((double)age - s->failure_age_us) * FAILURE_AGE_WEIGHT;
 }
 
-/* How old attempts are when they turn out to have failed, in us: some
- * milliseconds where targets answer with errors, longer than work usually
- * takes where they hang. */
+/* Returns the mean age, in us, at which failures are detected: some
+ * milliseconds if targets answer with errors, longer than a usual answer if
+ * they hang. */
 apr_time_t tr_service_stats_failure_age(const struct tr_service_stats *s,
 					apr_time_t latency_aim)
 {
-	if (s->fail_age_us <= 0)
-		return latency_aim / FIRST_FAIL_AGE;
-	return (apr_time_t)s->fail_age_us;
+	if (s->failure_age_us <= 0)
+		return latency_aim / INITIAL_FAILURE_AGE_DIVISOR;
+	return (apr_time_t)s->failure_age_us;
 }
 
 /*
- * Work that is sent now is expected to take so long at the best target. Queues
- * beyond the aim are a burst until they have lasted for an aim; then they
- * stand, until they have stayed within it for some times as long. Without the
- * rest a queue that is kept at the aim would be let grow again at each moment
- * at which it is a little shorter.
+ * Updates whether the service has a standing queue. expected_time is how long a
+ * request sent now would take at the best target, in us. Queues beyond the
+ * target latency are a burst until they have lasted for that latency. Then they
+ * are standing queues until they have stayed within it for QUEUE_GONE_FACTOR
+ * times as long. Otherwise a queue that is kept at the target latency could
+ * grow again whenever it is a little shorter for a moment.
  */
-void tr_service_stats_track_queue(struct tr_service_stats *s, apr_time_t takes,
+void tr_service_stats_track_queue(struct tr_service_stats *s,
+				  apr_time_t expected_time,
 				  apr_time_t latency_aim, apr_time_t now)
 {
-	apr_time_t passed = now - s->expected_at;
-	apr_time_t most = BURST_AIMS * latency_aim;
-
-	s->expected_at = now;
-	if (passed > latency_aim)
-		passed = latency_aim;
-	s->late_for += takes > latency_aim ? passed : -passed / BURST_REST;
-	if (s->late_for <= 0) {
-		s->late_for = 0;
+	apr_time_t elapsed = now - s->queue_checked_at;
+	apr_time_t limit = BURST_LATENCIES * latency_aim;
+
+	s->queue_checked_at = now;
+	if (elapsed > latency_aim)
+		elapsed = latency_aim;
+	s->over_aim_for += expected_time > latency_aim
+				   ? elapsed
+				   : -elapsed / QUEUE_GONE_FACTOR;
+	if (s->over_aim_for <= 0) {
+		s->over_aim_for = 0;
 		s->standing_queue = false;
 	}
-	if (s->late_for >= most) {
-		s->late_for = most;
+	if (s->over_aim_for >= limit) {
+		s->over_aim_for = limit;
 		s->standing_queue = true;
 	}
 }
 
-/* The mean chance of its targets of being gray is this now, and was looked at
- * so many seconds ago before. */
+/* Updates the learned share of gray targets. share is the mean probability of
+ * its targets of being gray, elapsed_s the time since the last update in
+ * seconds. */
 void tr_service_stats_learn_gray_share(struct tr_service_stats *s, double share,
-				       double passed_s)
+				       double elapsed_s)
 {
 	if (!tr_mechanism_on(TR_MECH_LEARNED_SHARE))
 		return;
-	s->gray_share += (share - s->gray_share) * fmin(1, passed_s / GRAY_S);
-	s->gray_share = fmin(GRAY_MOST, fmax(GRAY_LEAST, s->gray_share));
+	s->gray_share +=
+		(share - s->gray_share) * fmin(1, elapsed_s / GRAY_SHARE_S);
+	s->gray_share =
+		fmin(GRAY_SHARE_MAX, fmax(GRAY_SHARE_MIN, s->gray_share));
 }
--- a/tests/floor_test.cc
+++ b/tests/floor_test.cc
@@ -386,11 +386,11 @@
 	/* How long a request runs until it is told to be overdue. */
 	apr_time_t overdue_after()
 	{
-		const tr_worktime *takes = &roster.services[0].takes;
+		const tr_worktime *work_time = &roster.services[0].work_time;
 
 		return tr_gray_stage_start(TR_STAGE_OVERDUE,
-					   tr_worktime_mean(takes, 0),
-					   tr_worktime_spread(takes));
+					   tr_worktime_mean(work_time, 0),
+					   tr_worktime_spread(work_time));
 	}
 
 	void send()
@@ -610,7 +610,7 @@
  * so counts as overdue late, though a later one was answered. */
 TEST_F(Order, AQueuedRequestThatIsOverdueLateHoldsNobodyBack)
 {
-	const tr_worktime *takes = &roster.services[0].takes;
+	const tr_worktime *work_time = &roster.services[0].work_time;
 	apr_time_t first = now;
 
 	send();
@@ -622,7 +622,8 @@
 	/* As exchange.c has it for one that waits for a slot as long as the
 	 * work takes. */
 	now = first + tr_gray_stage_start(TR_STAGE_OVERDUE,
-					  2 * tr_worktime_mean(takes, 0), 0.75);
+					  2 * tr_worktime_mean(work_time, 0),
+					  0.75);
 	ASSERT_GT(now, later + TR_MSEC(200));
 	say(TR_SYMPTOM_OVERDUE);
 	EXPECT_LE(due_after(later), in_time);
@@ -651,7 +652,7 @@
 {
 	apr_time_t first = now;
 
-	roster.services[0].takes = tr_worktime{};
+	roster.services[0].work_time = tr_worktime{};
 	send();
 	now += TR_MSEC(400);
 	apr_time_t later = now;
