--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -1,7 +1,8 @@
 /*
- * A service under load from a fleet of VMs, played with a virtual clock against
- * the decisions and the messages between VMs: each has a roster of its own and
- * hears of the others' requests only later. Counted is by the operators' rule.
+ * Simulates a service under load from a fleet of VMs with a virtual clock, to
+ * test the placement decisions and the messages between VMs: each VM has a
+ * roster of its own and learns of the others' requests only later. The floor is
+ * checked by the operators' rule.
  */
 #include <algorithm>
 #include <cmath>
@@ -26,30 +27,32 @@
 const apr_time_t WINDOW = TR_SEC(2);
 const apr_time_t USUAL = TR_MSEC(250);
 const apr_time_t AIM = TR_MSEC(1200);
-/* As VMs do: between two messages of one, until a connection that is not
- * answered is given up, and how long the target then gets nothing from it. */
-const apr_time_t TELL_GAP = TR_MSEC(40);
-const apr_time_t TELL_EVERY = TR_MSEC(200);
+/* As VMs do: the least and the longest time between two messages of a VM, the
+ * timeout of a connection attempt, and how long the VM then sends the target
+ * nothing. */
+const apr_time_t REPORT_GAP = TR_MSEC(40);
+const apr_time_t REPORT_INTERVAL = TR_MSEC(200);
 const apr_time_t CONNECT_TIMEOUT = TR_MSEC(300);
 const apr_time_t UNREACHABLE_FOR = TR_SEC(1);
-/* A request for the floor that comes so soon after another at the same target
- * finds out nothing new. */
-const apr_time_t TWICE = TR_MSEC(100);
-/* What the fleet tells at most so late may make a target's age seem less. */
-const apr_time_t ABOUT = TR_MSEC(50);
+/* A floor's request so soon after another one to the same target gives no new
+ * evidence. */
+const apr_time_t DUPLICATE_WITHIN = TR_MSEC(100);
+/* A report may be this late, so that a request seems younger to others than it
+ * is. */
+const apr_time_t REPORT_DELAY = TR_MSEC(50);
 
 struct Target {
 	bool gray = false;
-	bool cut = false;
-	apr_time_t turns_at = 0;
+	bool link_down = false;
+	apr_time_t next_change_at = 0;
 	apr_time_t gray_until = 0;
-	apr_time_t cut_until = 0;
+	apr_time_t link_down_until = 0;
 	apr_time_t floor_at = 0;
 	unsigned in_flight = 0;
 	/* The newest request: when it was sent, and whether it was answered. */
 	apr_time_t newest_at = 0;
 	bool newest_answered = false;
-	/* When it ended, if it hung. */
+	/* When it ended, if it hung; APR_INT64_MAX while it hangs. */
 	apr_time_t newest_hung_until = 0;
 	std::vector<apr_time_t> arrivals;
 	std::vector<apr_time_t> losses;
@@ -70,10 +73,10 @@
 	entry e{};
 	mesh m{};
 	std::vector<tr_node> nodes;
-	std::vector<apr_time_t> last_comes_at;
-	bool soon = false;
-	bool at_once = false;
-	apr_time_t told_at = 0;
+	std::vector<apr_time_t> last_arrival_at;
+	bool report_soon = false;
+	bool report_now = false;
+	apr_time_t last_report_at = 0;
 
 	~Vm()
 	{
@@ -93,21 +96,21 @@
 	unsigned vms = 30;
 	unsigned targets = 200;
 	double rate = 320;
-	/* So many of the VMs get callers, 0 for all. */
+	/* How many of the VMs get callers; 0 for all. */
 	unsigned with_callers = 0;
-	/* Gray spells last 8 s in the mean, or evenly from 9 to 11 s. */
+	/* Gray spells last 8 s on average, or uniformly from 9 to 11 s. */
 	bool even_spells = false;
 	apr_time_t hangs_for = TR_SEC(2);
-	/* For 5 s of each 10 a fifth of the targets get nothing from 3 in 10
-	 * VMs. */
-	bool cuts = false;
-	/* Each 10 s so large a part of the well targets turns gray at once; or
-	 * each 20 s, and none at other times. */
-	double together = 0;
-	bool only_together = false;
-	/* In spans in which many fail a target counts from the time at which
-	 * what failed there was sent, and not from the end of the wait. */
-	bool from_sending = false;
+	/* For 5 s of each 10 s three in ten VMs can't reach a fifth of the
+	 * targets. */
+	bool link_faults = false;
+	/* Each 10 s this share of the healthy targets turns gray together; with
+	 * only_joint each 20 s, and no target turns gray by itself. */
+	double joint_share = 0;
+	bool only_joint = false;
+	/* While many requests fail, a target counts from the time at which its
+	 * failed request was sent, not from the end of its timeout. */
+	bool from_send_time = false;
 	uint64_t seed = 5;
 };
 
@@ -117,33 +120,33 @@
 	apr_time_t now = TR_SEC(100);
 	std::vector<std::unique_ptr<Vm>> vms;
 	std::vector<Target> targets;
-	std::vector<Request> running;
-	std::multimap<apr_time_t, Message> under_way;
-	unsigned asked = 0;
-	unsigned lost = 0;
+	std::vector<Request> pending;
+	std::multimap<apr_time_t, Message> in_transit;
+	unsigned requests = 0;
+	unsigned lost_requests = 0;
 	unsigned for_floor = 0;
 	unsigned floor_twice = 0;
-	unsigned ends = 0;
-	unsigned short_ends = 0;
+	unsigned end_checks = 0;
+	unsigned short_end_checks = 0;
 	unsigned failing_spans = 0;
 	unsigned short_failing_spans = 0;
-	/* Why the targets that were missing had got nothing. */
-	std::map<std::string, unsigned> causes;
-	std::map<std::string, unsigned> failing_causes;
+	/* The reasons for which the idle targets had got no request. */
+	std::map<std::string, unsigned> reasons;
+	std::map<std::string, unsigned> failing_reasons;
 
 	explicit Fleet(const Plan &with) : plan(with)
 	{
 		random.state = plan.seed;
 		targets.resize(plan.targets);
 		for (Target &t : targets) {
-			t.gray = !plan.only_together &&
+			t.gray = !plan.only_joint &&
 				 tr_random_unit(&random) < 0.3;
-			t.turns_at = now + spell(t.gray);
-			/* In the midst of its spell. */
+			t.next_change_at = now + draw_spell_length(t.gray);
+			/* Starts in the middle of its spell. */
 			if (plan.even_spells && t.gray)
-				t.turns_at -= (t.turns_at - now) *
-					      tr_random_below(&random, 100) /
-					      100;
+				t.next_change_at -=
+					(t.next_change_at - now) *
+					tr_random_below(&random, 100) / 100;
 		}
 		for (unsigned v = 0; v < plan.vms; v++)
 			add_vm();
@@ -155,7 +158,7 @@
 		Vm &vm = *vms.back();
 
 		vm.m.e = &vm.e;
-		vm.last_comes_at.resize(plan.vms);
+		vm.last_arrival_at.resize(plan.vms);
 		vm.nodes.resize(plan.vms);
 		for (tr_node &node : vm.nodes) {
 			node = tr_node{};
@@ -165,7 +168,7 @@
 		tr_roster_service(&vm.e.roster, "svc");
 		for (int i = 0; i < 40; i++)
 			tr_service_stats_add_answer(&vm.e.roster.services[0],
-						    takes(), true);
+						    draw_response_time(), true);
 		for (unsigned i = 0; i < plan.targets; i++) {
 			tr_target_record r{};
 
@@ -185,17 +188,17 @@
 		return plan.with_callers ? plan.with_callers : plan.vms;
 	}
 
-	apr_time_t takes()
+	apr_time_t draw_response_time()
 	{
 		return (apr_time_t)((0.6 + 0.8 * tr_random_unit(&random)) *
 				    (double)USUAL);
 	}
 
-	apr_time_t spell(bool gray)
+	apr_time_t draw_spell_length(bool gray)
 	{
 		double mean = gray ? 8e6 : 18.7e6;
 
-		if (plan.only_together && !gray)
+		if (plan.only_joint && !gray)
 			return TR_SEC(1000);
 		if (plan.even_spells && gray)
 			return (apr_time_t)(9e6 +
@@ -206,47 +209,50 @@
 				    std::log(1 - tr_random_unit(&random)));
 	}
 
-	void turn_together()
+	void change_together()
 	{
 		for (Target &t : targets) {
-			if (t.gray || tr_random_unit(&random) >= plan.together)
+			if (t.gray ||
+			    tr_random_unit(&random) >= plan.joint_share)
 				continue;
 			t.gray = true;
-			t.turns_at = now + spell(true);
+			t.next_change_at = now + draw_spell_length(true);
 		}
 	}
 
-	void turn()
+	void change_states()
 	{
-		bool cut = plan.cuts && now % TR_SEC(10) < TR_SEC(5);
-		bool begins = cut && now % TR_SEC(10) < STEP;
+		bool link_down =
+			plan.link_faults && now % TR_SEC(10) < TR_SEC(5);
+		bool begins = link_down && now % TR_SEC(10) < STEP;
 
 		for (Target &t : targets) {
 			if (begins)
-				t.cut = tr_random_unit(&random) < 0.2;
-			t.cut &= cut;
-			if (t.cut)
-				t.cut_until = now;
+				t.link_down = tr_random_unit(&random) < 0.2;
+			t.link_down &= link_down;
+			if (t.link_down)
+				t.link_down_until = now;
 			if (t.gray)
 				t.gray_until = now;
-			if (now < t.turns_at)
+			if (now < t.next_change_at)
 				continue;
 			t.gray = !t.gray;
-			t.turns_at = now + spell(t.gray);
+			t.next_change_at = now + draw_spell_length(t.gray);
 		}
-		if (now % TR_SEC(plan.only_together ? 20 : 10) < STEP)
-			turn_together();
+		if (now % TR_SEC(plan.only_joint ? 20 : 10) < STEP)
+			change_together();
 	}
 
-	/* As a VM says what it saw of a request. */
-	void say(Vm &vm, uint32_t at, tr_symptom symptom, apr_time_t age)
+	/* Reports an outcome as a VM does. */
+	void report_outcome(Vm &vm, uint32_t at, tr_symptom symptom,
+			    apr_time_t age)
 	{
 		tr_roster *roster = &vm.e.roster;
 		tr_instance *row = &roster->rows[at];
 
-		vm.at_once |= symptom == TR_SYMPTOM_FAILED &&
-			      tr_gray_probability(&row->gray, now) < 0.5;
-		vm.soon = true;
+		vm.report_now |= symptom == TR_SYMPTOM_FAILED &&
+				 tr_gray_probability(&row->gray, now) < 0.5;
+		vm.report_soon = true;
 		row->own.count[symptom]++;
 		tr_roster_mark_dirty(roster, row);
 		tr_roster_add_outcome(roster, row, symptom, 1, now);
@@ -277,7 +283,7 @@
 		req.tried_count = (unsigned)tried.size();
 		if (tr_place(roster, &req, &random, now, &p) !=
 		    TR_PLACE_FOUND) {
-			lost++;
+			lost_requests++;
 			return;
 		}
 		tr_service_stats_track_queue(svc, p.least_takes, AIM, now);
@@ -296,23 +302,23 @@
 
 		for_floor += p.for_floor;
 		if (p.for_floor) {
-			vm.at_once = true;
-			floor_twice += now - t.floor_at < TWICE;
+			vm.report_now = true;
+			floor_twice += now - t.floor_at < DUPLICATE_WITHIN;
 			t.floor_at = now;
 		}
 		r.tried.push_back(p.row);
-		r.reached = !(t.cut && v * 10 < plan.vms * 3);
+		r.reached = !(t.link_down && v * 10 < plan.vms * 3);
 		r.hangs = r.reached && t.gray && tr_random_unit(&random) < 0.75;
 		r.ends_at = now + (!r.reached ? CONNECT_TIMEOUT
 				   : r.hangs  ? plan.hangs_for
-					      : takes());
+					      : draw_response_time());
 		row->in_flight++;
 		row->used_at = now;
 		tr_roster_mark_dirty(&vm.e.roster, row);
-		vm.soon = true;
+		vm.report_soon = true;
 		if (r.reached)
 			arrive(t, r);
-		running.push_back(r);
+		pending.push_back(r);
 	}
 
 	void arrive(Target &t, const Request &r)
@@ -322,13 +328,13 @@
 		t.newest_answered = false;
 		t.newest_hung_until = r.hangs ? APR_INT64_MAX : 0;
 		t.arrivals.push_back(now);
-		lost += r.hangs;
+		lost_requests += r.hangs;
 		if (r.hangs)
 			t.losses.push_back(now);
 	}
 
-	/* Say what the request's age tells, as VMs do. */
-	void look(Request &r)
+	/* Reports the stage of a running request, as VMs do. */
+	void report_stage(Request &r)
 	{
 		Vm &vm = *vms[r.vm];
 		tr_service_stats *svc = &vm.e.roster.services[0];
@@ -342,8 +348,8 @@
 				    tr_service_stats_spread(svc)))
 				return;
 			r.stage = next;
-			say(vm, r.row, tr_gray_stage_symptom(next),
-			    now - r.sent_at);
+			report_outcome(vm, r.row, tr_gray_stage_symptom(next),
+				       now - r.sent_at);
 		}
 	}
 
@@ -356,11 +362,12 @@
 
 		row->in_flight--;
 		tr_roster_mark_dirty(&vm.e.roster, row);
-		vm.soon = true;
+		vm.report_soon = true;
 		if (!r.reached) {
 			row->unreachable_until = now + UNREACHABLE_FOR;
-			say(vm, r.row, tr_gray_connect_failure_symptom(false),
-			    age);
+			report_outcome(vm, r.row,
+				       tr_gray_connect_failure_symptom(false),
+				       age);
 			send(r.vm, r.tried);
 			return;
 		}
@@ -370,83 +377,86 @@
 		if (r.hangs && r.stage == TR_STAGE_OVERDUE) {
 			tr_roster_end_hang(row, now);
 		} else if (r.hangs) {
-			say(vm, r.row, TR_SYMPTOM_FAILED, age);
+			report_outcome(vm, r.row, TR_SYMPTOM_FAILED, age);
 		} else {
 			t.newest_answered |= r.sent_at == t.newest_at;
 			tr_service_stats_add_answer(&vm.e.roster.services[0],
 						    age, true);
-			say(vm, r.row, tr_gray_answer_symptom(r.stage), age);
+			report_outcome(vm, r.row,
+				       tr_gray_answer_symptom(r.stage), age);
 		}
 	}
 
-	void progress()
+	void advance_requests()
 	{
 		std::vector<Request> over;
 
-		for (Request &r : running) {
-			look(r);
+		for (Request &r : pending) {
+			report_stage(r);
 			if (now >= r.ends_at)
 				over.push_back(r);
 		}
-		running.erase(std::remove_if(running.begin(), running.end(),
+		pending.erase(std::remove_if(pending.begin(), pending.end(),
 					     [&](const Request &r) {
 						     return now >= r.ends_at;
 					     }),
-			      running.end());
+			      pending.end());
 		for (const Request &r : over)
 			end(r);
 	}
 
-	/* Messages take 5 to 20 ms, beside the gap between two, and a tenth
-	 * 200 ms more; one that is late holds up those behind it. */
-	void tell(unsigned from)
+	/* Messages take 5 to 20 ms, besides the time between two, and a tenth
+	 * of them 200 ms more. A late message delays those behind it. */
+	void send_report(unsigned from)
 	{
 		Vm &vm = *vms[from];
 		mesh_row rows[MESH_MAX_ROWS];
 		mesh_message msg{};
 
-		vm.soon = vm.at_once = false;
-		vm.told_at = now;
+		vm.report_soon = vm.report_now = false;
+		vm.last_report_at = now;
 		mesh_add_rows(&vm.m, &msg, rows, 1100);
-		auto told = std::make_shared<std::vector<mesh_row>>(
+		auto report = std::make_shared<std::vector<mesh_row>>(
 			rows, rows + msg.rows.rows_len);
 		for (unsigned to = 0; to < plan.vms; to++) {
-			apr_time_t way =
+			apr_time_t delay =
 				TR_MSEC(5) + tr_random_below(&random, 15001);
-			apr_time_t &comes_at = vm.last_comes_at[to];
+			apr_time_t &arrives_at = vm.last_arrival_at[to];
 
 			if (to == from)
 				continue;
 			if (tr_random_unit(&random) < 0.1)
-				way += TR_MSEC(200);
-			comes_at = std::max(comes_at, now + way);
-			under_way.insert({ comes_at, { from, to, told } });
+				delay += TR_MSEC(200);
+			arrives_at = std::max(arrives_at, now + delay);
+			in_transit.insert({ arrives_at, { from, to, report } });
 		}
 	}
 
-	void hear()
+	void receive_messages()
 	{
-		while (!under_way.empty() && under_way.begin()->first <= now) {
-			const Message &in = under_way.begin()->second;
+		while (!in_transit.empty() &&
+		       in_transit.begin()->first <= now) {
+			const Message &in = in_transit.begin()->second;
 			Vm &vm = *vms[in.to];
 			mesh_message msg{};
 
 			msg.rows.rows_val = in.rows->data();
 			msg.rows.rows_len = (u_int)in.rows->size();
 			mesh_take_rows(&vm.m, &vm.nodes[in.from], &msg, now);
-			under_way.erase(under_way.begin());
+			in_transit.erase(in_transit.begin());
 		}
 	}
 
-	void talk()
+	void send_reports()
 	{
 		for (unsigned v = 0; v < plan.vms; v++) {
 			Vm &vm = *vms[v];
-			apr_time_t since = now - vm.told_at;
+			apr_time_t since = now - vm.last_report_at;
 
-			if (vm.at_once || (vm.soon && since >= TELL_GAP) ||
-			    since >= TELL_EVERY)
-				tell(v);
+			if (vm.report_now ||
+			    (vm.report_soon && since >= REPORT_GAP) ||
+			    since >= REPORT_INTERVAL)
+				send_report(v);
 		}
 	}
 
@@ -455,28 +465,30 @@
 		return !t.arrivals.empty() && now - t.arrivals.back() < WINDOW;
 	}
 
-	/* Operators count those that have been well and undisturbed for long
-	 * enough. One whose newest request hung is left out until two seconds
-	 * after its end: nobody could know sooner that it is well. */
+	/* Tells whether operators count the target: it has been healthy and
+	 * reachable for long enough. One whose newest request hung is left out
+	 * until two seconds after the end of that request, since nobody could
+	 * know earlier that it is healthy. */
 	bool counted(const Target &t) const
 	{
 		return !t.gray && now - t.gray_until >= WINDOW &&
-		       now - t.cut_until >= 2 * WINDOW &&
+		       now - t.link_down_until >= 2 * WINDOW &&
 		       (t.newest_answered ||
 			t.newest_hung_until <= now - WINDOW);
 	}
 
 	/* The same by the time at which the newest request was sent: a target
-	 * that failed is sound again after two seconds, and a span begins. */
-	bool counted_from_sending(const Target &t) const
+	 * that failed is healthy again after two seconds, when a window begins.
+	 */
+	bool counted_from_send_time(const Target &t) const
 	{
 		return !t.gray && now - t.gray_until >= WINDOW &&
-		       now - t.cut_until >= 2 * WINDOW &&
+		       now - t.link_down_until >= 2 * WINDOW &&
 		       (t.newest_answered || !t.newest_hung_until ||
 			now - t.newest_at >= 2 * WINDOW);
 	}
 
-	/* What a VM finds that looks at all targets now. */
+	/* One VM's check of all targets. */
 	struct View {
 		const tr_roster *roster;
 		tr_floor_check check;
@@ -508,8 +520,8 @@
 		return view;
 	}
 
-	/* Why the VM let this one be idle. */
-	std::string why(const View &view, uint32_t at) const
+	/* Returns the reason for which the VM let the target be idle. */
+	std::string reason(const View &view, uint32_t at) const
 	{
 		const tr_floor_check &check = view.check;
 		const tr_instance *row = &view.roster->rows[at];
@@ -532,34 +544,35 @@
 					   : "share seemed kept by the mean";
 		}
 		if (row->failed_at > row->used_at &&
-		    row->failed_at > t.newest_at + ABOUT)
+		    row->failed_at > t.newest_at + REPORT_DELAY)
 			return !t.newest_answered
-				       ? "the newest failed, told late"
+				       ? "newest request failed, reported late"
 			       : row->failed_at - t.newest_at < WINDOW
-				       ? "the end of an old one that hung"
-				       : "an old one hung, a later one was "
+				       ? "end of an older request that hung"
+				       : "older request hung, a later one was "
 					 "answered";
-		if (row->used_at > t.newest_at + ABOUT)
+		if (row->used_at > t.newest_at + REPORT_DELAY)
 			return t.newest_answered
-				       ? "the answer counted as a new request"
-				       : "a request that never arrived, or news "
-					 "that came late";
+				       ? "answer counted as a new request"
+				       : "request never arrived, or its report "
+					 "came late";
 		if (!alone.idle_count && tr_instance_in_flight(row, now))
-			return !t.in_flight ? "an end that was not heard"
+			return !t.in_flight ? "end of the request not reported"
 			       : t.newest_answered
-				       ? "an old one hung, a later one "
+				       ? "older request hung, a later one "
 					 "was answered"
-				       : "the newest hangs";
+				       : "newest request hangs";
 		return "due soon";
 	}
 
-	/* As most of the VMs see it that are asked. */
-	std::string cause(const std::vector<View> &views, uint32_t at) const
+	/* Returns the reason that most of the given VMs have. */
+	std::string common_reason(const std::vector<View> &views,
+				  uint32_t at) const
 	{
 		std::map<std::string, unsigned> votes;
 
 		for (const View &view : views)
-			votes[why(view, at)]++;
+			votes[reason(view, at)]++;
 		return std::max_element(votes.begin(), votes.end(),
 					[](const auto &a, const auto &b) {
 						return a.second < b.second;
@@ -567,40 +580,42 @@
 			->first;
 	}
 
-	/* Is less than the share of those that are counted at work? at_rest: of
-	 * those without a request in flight, as when all VMs end. */
-	bool is_short(bool at_rest, std::map<std::string, unsigned> &because)
+	/* Tells whether fewer of the counted targets than the share are in use.
+	 * unloaded: of those without a request in flight, as if all VMs ended
+	 * now. */
+	bool is_short(bool unloaded,
+		      std::map<std::string, unsigned> &reason_counts)
 	{
 		std::vector<uint32_t> idle;
 		std::vector<View> views;
-		unsigned well = 0;
+		unsigned total = 0;
 
 		for (uint32_t i = 0; i < targets.size(); i++) {
 			const Target &t = targets[i];
 
-			if (plan.from_sending && !at_rest
-				    ? !counted_from_sending(t)
+			if (plan.from_send_time && !unloaded
+				    ? !counted_from_send_time(t)
 				    : !counted(t))
 				continue;
-			if (at_rest && t.in_flight)
+			if (unloaded && t.in_flight)
 				continue;
-			well++;
+			total++;
 			if (!used(t))
 				idle.push_back(i);
 		}
-		if ((double)(well - idle.size()) >= 0.7 * well)
+		if ((double)(total - idle.size()) >= 0.7 * total)
 			return false;
-		if (!at_rest && idle.size() == well)
+		if (!unloaded && idle.size() == total)
 			return false;
 		for (size_t v = 0; v < vms.size(); v += 6)
 			views.push_back(view_of(*vms[v]));
 		for (uint32_t at : idle)
-			because[cause(views, at)]++;
+			reason_counts[common_reason(views, at)]++;
 		return true;
 	}
 
-	static unsigned lately(const std::vector<apr_time_t> &times,
-			       apr_time_t since)
+	static unsigned count_since(const std::vector<apr_time_t> &times,
+				    apr_time_t since)
 	{
 		return (unsigned)(times.end() - std::lower_bound(times.begin(),
 								 times.end(),
@@ -613,40 +628,40 @@
 		unsigned failed = 0;
 
 		for (const Target &t : targets) {
-			all += lately(t.arrivals, now - WINDOW);
-			failed += lately(t.losses, now - WINDOW);
+			all += count_since(t.arrivals, now - WINDOW);
+			failed += count_since(t.losses, now - WINDOW);
 		}
 		return failed * 10 > all && failed * 2 < all;
 	}
 
 	void count()
 	{
-		ends++;
-		short_ends += is_short(true, causes);
+		end_checks++;
+		short_end_checks += is_short(true, reasons);
 		if (!high_failure_rate())
 			return;
 		failing_spans++;
-		short_failing_spans += is_short(false, failing_causes);
+		short_failing_spans += is_short(false, failing_reasons);
 	}
 
-	void play(apr_time_t length)
+	void run(apr_time_t length)
 	{
 		apr_time_t until = now + length;
 		double due = 0;
 
 		while (now < until) {
 			now += STEP;
-			turn();
-			hear();
-			progress();
+			change_states();
+			receive_messages();
+			advance_requests();
 			for (auto &vm : vms)
 				tr_roster_step(&vm->e.roster, now);
 			due += plan.rate * (double)STEP / 1e6;
 			for (; due >= 1; due--) {
-				asked++;
+				requests++;
 				send(tr_random_below(&random, callers()), {});
 			}
-			talk();
+			send_reports();
 			if (now % TR_MSEC(250) < STEP &&
 			    until - now < length / 2)
 				count();
@@ -654,40 +669,41 @@
 	}
 };
 
-std::string told(const std::map<std::string, unsigned> &causes)
+std::string report(const std::map<std::string, unsigned> &reasons)
 {
 	std::string text;
 
-	for (const auto &c : causes)
+	for (const auto &c : reasons)
 		text += "\n  " + std::to_string(c.second) + " " + c.first;
 	return text;
 }
 
-/* No target that is counted is missing. What is lost is told, for no aim bounds
- * it. */
-void play(Plan plan, apr_time_t length, unsigned seeds = 2)
+/* Checks that the floor is met at all times. The lost requests are only
+ * printed, since no bound is set for them. */
+void run(Plan plan, apr_time_t length, unsigned seeds = 2)
 {
 	for (unsigned i = 1; i <= seeds; i++) {
 		plan.seed = i * 7919;
 		Fleet fleet(plan);
 
-		fleet.play(length);
-		EXPECT_EQ(fleet.short_ends, 0u)
-			<< "of " << fleet.ends << " ends" << told(fleet.causes);
+		fleet.run(length);
+		EXPECT_EQ(fleet.short_end_checks, 0u)
+			<< "of " << fleet.end_checks << " ends"
+			<< report(fleet.reasons);
 		EXPECT_EQ(fleet.short_failing_spans, 0u)
 			<< "of " << fleet.failing_spans << " spans"
-			<< told(fleet.failing_causes);
+			<< report(fleet.failing_reasons);
 		printf("%u of %u lost, %u for the floor, %u of them twice\n",
-		       fleet.lost, fleet.asked, fleet.for_floor,
+		       fleet.lost_requests, fleet.requests, fleet.for_floor,
 		       fleet.floor_twice);
 	}
 }
 
-/* Guards against sound targets that are idle when all VMs end, since VMs hear
- * of each other's requests late. */
+/* Guards against healthy targets that are idle when all VMs end, because VMs
+ * learn late of each other's requests. */
 TEST(FloorFleetLoad, ALargeServiceHasItsTargetsAtWork)
 {
-	play({}, TR_SEC(20), 1);
+	run({}, TR_SEC(20), 1);
 }
 
 /* Guards against the same where a service has few targets. */
@@ -697,31 +713,32 @@
 
 	plan.targets = 28;
 	plan.rate = 80;
-	play(plan, TR_SEC(40));
+	run(plan, TR_SEC(40));
 }
 
-/* Guards against tries that all come in the midst of spells of even length. */
+/* Guards against probes that all fall into the middle of spells of equal
+ * length. */
 TEST(FloorFleetLoad, SpellsOfEvenLengthLeaveTheTargetsAtWork)
 {
 	Plan plan;
 
 	plan.even_spells = true;
-	play(plan, TR_SEC(20), 1);
+	run(plan, TR_SEC(20), 1);
 }
 
-/* Guards against targets that turn gray at once, answer again at once, and are
- * let idle since the others seem to make up the share. */
+/* Guards against targets that turn gray together, answer again together, and
+ * stay idle because the other targets seem to meet the floor. */
 TEST(FloorFleetLoad, TargetsThatAnswerAgainTogetherAreFound)
 {
 	Plan plan;
 
 	plan.even_spells = true;
-	plan.together = 0.3;
-	plan.only_together = true;
-	play(plan, TR_SEC(40), 1);
+	plan.joint_share = 0.3;
+	plan.only_joint = true;
+	run(plan, TR_SEC(40), 1);
 }
 
-/* Guards against targets that are left idle while a request from an old spell
+/* Guards against targets that stay idle while a request of an earlier spell
  * hangs there, though they have answered since. */
 TEST(FloorFleetLoad, WhatHangsForLongHoldsNoSoundTargetBack)
 {
@@ -730,10 +747,10 @@
 	plan.targets = 28;
 	plan.rate = 80;
 	plan.hangs_for = TR_SEC(6);
-	play(plan, TR_SEC(40));
+	run(plan, TR_SEC(40));
 }
 
-/* Guards against the same while many targets turn gray at once, so that more
+/* Guards against the same while many targets turn gray together, so that more
  * than a tenth of the requests fails. */
 TEST(FloorFleetLoad, WhileATenthFailsTheSoundTargetsAreAtWork)
 {
@@ -742,12 +759,13 @@
 	plan.targets = 28;
 	plan.rate = 80;
 	plan.hangs_for = TR_SEC(6);
-	plan.together = 0.5;
-	play(plan, TR_SEC(40));
+	plan.joint_share = 0.5;
+	run(plan, TR_SEC(40));
 }
 
-/* Guards against sound targets that are idle while a tenth fails, where their
- * newest request hung: the end of the wait was taken for a new failure. */
+/* Guards against healthy targets that stay idle while a tenth of the requests
+ * fails, where their newest request hung: the end of its timeout was taken for
+ * a new failure. */
 TEST(FloorFleetLoad, WhileATenthFailsAHangCountsFromTheTimeItWasSent)
 {
 	Plan plan;
@@ -755,13 +773,14 @@
 	plan.targets = 28;
 	plan.rate = 80;
 	plan.hangs_for = TR_SEC(3);
-	plan.together = 0.7;
-	plan.from_sending = true;
-	play(plan, TR_SEC(40));
+	plan.joint_share = 0.7;
+	plan.from_send_time = true;
+	run(plan, TR_SEC(40));
 }
 
-/* Guards against a fleet that asks suspects so often for the floor that a tenth
- * of the requests fails for it, and so goes on asking. */
+/* Guards against a fleet that sends suspected targets so many of the floor's
+ * requests that a tenth of all requests fails for it, which makes the floor
+ * need still more. */
 TEST(FloorFleetLoad, WhatTheFloorLosesIsNoReasonToAskForMore)
 {
 	for (apr_time_t hangs_for : { TR_SEC(2), TR_SEC(3) }) {
@@ -770,37 +789,37 @@
 		plan.hangs_for = hangs_for;
 		Fleet fleet(plan);
 
-		fleet.play(TR_SEC(20));
+		fleet.run(TR_SEC(20));
 		EXPECT_EQ(fleet.failing_spans, 0u)
-			<< "of " << fleet.ends << ", " << fleet.for_floor
+			<< "of " << fleet.end_checks << ", " << fleet.for_floor
 			<< " for the floor";
 	}
 }
 
-/* Guards against targets at rest that are idle when all VMs end, where most
- * have a request in flight. */
+/* Guards against targets without a request in flight that are idle when all VMs
+ * end, where most targets have one. */
 TEST(FloorFleetLoad, WhereMostAreInFlightThoseAtRestWereAtWork)
 {
 	Plan plan;
 
 	plan.rate = 800;
 	plan.hangs_for = TR_SEC(6);
-	play(plan, TR_SEC(12));
+	run(plan, TR_SEC(12));
 }
 
-/* Guards against targets that are idle for all, since some VMs don't reach
- * them. */
+/* Guards against targets that stay idle for all VMs because some VMs can't
+ * reach them. */
 TEST(FloorFleetLoad, LinksOfSomeVmsLeaveTheTargetsAtWork)
 {
 	Plan plan;
 
-	plan.cuts = true;
+	plan.link_faults = true;
 	plan.hangs_for = TR_SEC(6);
-	play(plan, TR_SEC(20), 1);
+	run(plan, TR_SEC(20), 1);
 }
 
-/* Guards against several VMs that ask the same target for the floor at once, of
- * which all but the first find out nothing new. */
+/* Guards against several VMs that send the floor's request to the same target
+ * at once, of which all but the first give no new evidence. */
 TEST(FloorFleetLoad, VmsAskATargetForTheFloorOnce)
 {
 	Plan small;
@@ -810,15 +829,15 @@
 	for (const Plan &plan : { Plan(), small }) {
 		Fleet fleet(plan);
 
-		fleet.play(TR_SEC(15));
+		fleet.run(TR_SEC(15));
 		EXPECT_GT(fleet.for_floor, 0u);
 		EXPECT_LE(fleet.floor_twice * 50, fleet.for_floor)
 			<< fleet.floor_twice << " of " << fleet.for_floor;
 	}
 }
 
-/* Guards against sound targets that are idle while a tenth fails, since the VMs
- * whose turn it is get no callers. */
+/* Guards against healthy targets that stay idle while a tenth of the requests
+ * fails, because the VMs whose turn it is get no callers. */
 TEST(FloorFleetLoad, AVmThatAloneGetsCallersKeepsTheTargetsAtWork)
 {
 	Plan plan;
@@ -826,9 +845,9 @@
 	plan.targets = 28;
 	plan.rate = 80;
 	plan.hangs_for = TR_SEC(6);
-	plan.together = 0.5;
+	plan.joint_share = 0.5;
 	plan.with_callers = 1;
-	play(plan, TR_SEC(40));
+	run(plan, TR_SEC(40));
 }
 
 /* Guards against the same where callers keep their connections to some VMs. */
@@ -839,9 +858,9 @@
 	plan.targets = 28;
 	plan.rate = 80;
 	plan.hangs_for = TR_SEC(6);
-	plan.together = 0.5;
+	plan.joint_share = 0.5;
 	plan.with_callers = 8;
-	play(plan, TR_SEC(40));
+	run(plan, TR_SEC(40));
 }
 
 } // namespace
