--- a/tests/gray_test.cc
+++ b/tests/gray_test.cc
@@ -25,11 +25,11 @@
 };
 
 /*
- * Symptom: a target that hangs goes on getting work for the whole timeout.
- * Sequence: it takes requests and never answers. Cause: only ends of requests
- * were evidence; one that runs four times the usual time is as good as failed.
+ * Guards against a target that hangs getting requests for the whole timeout. It
+ * accepts requests and never answers. Only ends of requests were evidence; a
+ * request that runs four times as long as usual has practically failed.
  */
-TEST_F(Gray, ARequestThatHangsAccusesBeforeItEnds)
+TEST_F(Gray, AHungRequestIsEvidenceBeforeItEnds)
 {
 	double before = p();
 
@@ -41,7 +41,7 @@
 	EXPECT_GT(p(), 0.5);
 }
 
-TEST_F(Gray, AnAnswerTakesBackWhatWasSaidWhileItRan)
+TEST_F(Gray, AnAnswerRevertsTheEvidenceOfTheRunningRequest)
 {
 	double before = p();
 
@@ -55,10 +55,11 @@
 }
 
 /*
- * Symptom: most requests go to a few targets and sound ones get none. Cause:
- * what is known to be well was thought much better than what is not known.
+ * Guards against most requests going to a few targets while other healthy ones
+ * get none: targets known to be healthy were rated much better than unknown
+ * ones.
  */
-TEST_F(Gray, GoodOutcomesMakeATargetHardlyBetterThanAnUnknownOne)
+TEST_F(Gray, AnswersMakeATargetHardlyBetterThanAnUnknownOne)
 {
 	double unknown = p();
 
@@ -66,7 +67,7 @@
 	EXPECT_LT(unknown - p(), 0.035);
 }
 
-TEST_F(Gray, SuspicionEndsByItself)
+TEST_F(Gray, SuspicionDecays)
 {
 	add(TR_SYMPTOM_FAILED, 3);
 	EXPECT_GT(p(), 0.9);
@@ -76,7 +77,7 @@
 	EXPECT_LT(p(), 0.061);
 }
 
-TEST_F(Gray, TheWayBackDoesNotGrowWithTheNumberOfFailures)
+TEST_F(Gray, RecoveryTimeDoesNotGrowWithTheNumberOfFailures)
 {
 	tr_gray few{};
 
@@ -85,21 +86,21 @@
 	EXPECT_NEAR(gray.log_odds, few.log_odds, 0.01);
 }
 
-TEST_F(Gray, StagesComeOneAfterTheOther)
+TEST_F(Gray, StagesAreInOrder)
 {
-	apr_time_t usual = TR_MSEC(100);
-
-	EXPECT_LT(tr_gray_stage_start(TR_STAGE_NORMAL, usual, 0.7),
-		  tr_gray_stage_start(TR_STAGE_LONG, usual, 0.7));
-	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LONG, usual, 0.7),
-		  tr_gray_stage_start(TR_STAGE_LATE, usual, 0.7));
-	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LATE, usual, 0.7),
-		  tr_gray_stage_start(TR_STAGE_OVERDUE, usual, 0.7));
+	apr_time_t mean = TR_MSEC(100);
+
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_NORMAL, mean, 0.7),
+		  tr_gray_stage_start(TR_STAGE_LONG, mean, 0.7));
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LONG, mean, 0.7),
+		  tr_gray_stage_start(TR_STAGE_LATE, mean, 0.7));
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LATE, mean, 0.7),
+		  tr_gray_stage_start(TR_STAGE_OVERDUE, mean, 0.7));
 }
 
-/* Guards against a target that most VMs reach being held to be gray because
- * some can't open a connection to it. */
-TEST_F(Gray, LinksThatSomeVmsHaveLostAccuseNobody)
+/* Guards against a target that most VMs can reach counting as gray because some
+ * can't connect to it. */
+TEST_F(Gray, FaultyLinksOfSomeVmsAreNoGrayFailure)
 {
 	tr_random random{ 11 };
 	unsigned suspected = 0;
@@ -115,8 +116,8 @@
 	EXPECT_LE(suspected, times / 50);
 }
 
-/* Guards against going on for long with a target that nobody can reach. */
-TEST_F(Gray, ATargetThatNobodyReachesIsSuspectedAfterAFewAttempts)
+/* Guards against using a target for long that no VM can reach. */
+TEST_F(Gray, AnUnreachableTargetIsSuspectedAfterAFewAttempts)
 {
 	for (int i = 0; i < 20; i++)
 		add(TR_SYMPTOM_ANSWERED);
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -20,7 +20,7 @@
 	return "dc-" + std::to_string(ip % CENTRES);
 }
 
-/* What one VM believes of a fleet of which it has heard all. */
+/* One VM's view of a fleet of which it has heard from all VMs. */
 struct View {
 	tr_membership m{};
 	apr_time_t now = TR_SEC(100);
@@ -34,7 +34,7 @@
 		tr_membership_init(&m, me, 1, centre(me).c_str());
 		for (uint32_t ip = 1; ip <= fleet; ip++)
 			if (ip != me)
-				hear(ip, centre(ip));
+				receive_from(ip, centre(ip));
 		tr_groups_count_alive(&m, now);
 	}
 
@@ -43,7 +43,7 @@
 		tr_membership_release(&m);
 	}
 
-	void hear(uint32_t ip, const std::string &centre)
+	void receive_from(uint32_t ip, const std::string &centre)
 	{
 		tr_node_news news{};
 		bool restarted;
@@ -66,7 +66,8 @@
 		return ips;
 	}
 
-	/* The name of the group that answers for a target, the same to all. */
+	/* Returns the name of the home group of a target, which is the same on
+	 * all VMs. */
 	uint64_t home(const std::string &centre, uint32_t target) const
 	{
 		return m.groups[tr_groups_home(&m, centre.c_str(), target)]
@@ -83,11 +84,11 @@
 }
 
 /*
- * Symptom: the larger the fleet the later a VM hears of a gray target, 0.44 s
- * with 442 VMs. Sequence: all tell all, and the pace is that at which a VM can
- * listen. Cause: what a VM hears grew with the fleet.
+ * Guards against news of a gray target that arrives the later the larger the
+ * fleet is, after 0.44 s with 442 VMs. All VMs sent to all others, at the rate
+ * at which a VM can receive, so that what it received grew with the fleet.
  */
-TEST(Group, WhatAVmHearsDoesNotGrowWithTheFleet)
+TEST(Group, MessagesToAVmDoNotGrowWithTheFleet)
 {
 	for (unsigned fleet : { 120u, 442u }) {
 		View view(7, fleet);
@@ -101,8 +102,8 @@
 	EXPECT_LE(large.m.near_count, 80u);
 }
 
-/* VMs with the same view are of one mind about who is of a group. */
-TEST(Group, TheVmsOfAGroupNameTheSameGroup)
+/* VMs with the same view agree on the members of a group. */
+TEST(Group, VmsAgreeOnTheMembersOfAGroup)
 {
 	for (bool one_centre : { false, true }) {
 		View view(1, 442, one_centre);
@@ -115,8 +116,9 @@
 	}
 }
 
-/* Until a VM has heard of the others it goes by what they say of the size. */
-TEST(Group, TheSizeThatIsToldCounts)
+/* Until a VM has heard of the others it uses the fleet size that they report.
+ */
+TEST(Group, TheReportedFleetSizeCounts)
 {
 	View view(1, 10);
 	tr_node_news news{};
@@ -137,10 +139,10 @@
 }
 
 /*
- * Symptom: the targets of a data centre get no work. Sequence: all of its VMs
- * are lost. Cause: nobody else held itself to be their home.
+ * Guards against the targets of a data centre getting no requests when all of
+ * its VMs are lost and no other group counts as their home.
  */
-TEST(Group, TheTargetsOfALostGroupAreTakenOver)
+TEST(Group, TargetsOfALostGroupGetANewHome)
 {
 	std::map<uint64_t, unsigned> taken;
 	View a(1, 442);
@@ -150,7 +152,7 @@
 		v->now += TR_SEC(30);
 		for (uint32_t ip = 1; ip <= 442; ip++)
 			if (ip != v->m.nodes[0].ip && centre_of(ip) != "dc-5")
-				v->hear(ip, centre_of(ip));
+				v->receive_from(ip, centre_of(ip));
 		for (unsigned i = 1; i < v->m.count; i++)
 			if (std::string(v->m.nodes[i].data_centre) != "dc-5")
 				v->m.nodes[i].heard_at = v->now;
@@ -166,8 +168,8 @@
 		EXPECT_GT(n, 100 / taken.size() / 2);
 }
 
-/* A VM of another group is there as long as its group says so. */
-TEST(Group, AVmOfAnotherGroupIsBelievedAsItsGroupSays)
+/* A VM of another group counts as alive as long as its group reports it. */
+TEST(Group, AVmOfAnotherGroupIsAliveWhileItsGroupReportsIt)
 {
 	View view(6, 442);
 	tr_node_news news{};
@@ -187,8 +189,8 @@
 	EXPECT_FALSE(tr_node_alive(&view.m, node, view.now));
 }
 
-/* Lost VMs of other groups are left to these: 442 VMs would else make as many
- * calls a second for each one that is lost. */
+/* Lost VMs of other groups are left to their groups; otherwise 442 VMs would
+ * make as many calls per second for each lost one. */
 TEST(Group, OnlyLostVmsOfTheGroupAreCalled)
 {
 	View view(6, 442);
@@ -229,8 +231,8 @@
 	tr_index_release(&x);
 }
 
-/* Rows that come and go for days leave no slots behind. */
-TEST(Index, RoomFollowsTheRowsThatAreThere)
+/* Rows that are added and removed for days leave no unused slots behind. */
+TEST(Index, CapacityFollowsTheNumberOfRows)
 {
 	tr_index x{};
 
--- a/tests/histogram_test.cc
+++ b/tests/histogram_test.cc
@@ -8,7 +8,7 @@
 namespace
 {
 
-TEST(Histogram, ABoundBelongsToItsBucket)
+TEST(Histogram, UpperBoundsAreInclusive)
 {
 	tr_histogram h{};
 
@@ -23,7 +23,7 @@
 	EXPECT_NEAR(h.sum_s, 11.252, 0.001);
 }
 
-TEST(Histogram, BoundsGrow)
+TEST(Histogram, BoundsIncrease)
 {
 	for (unsigned i = 1; i < TR_HISTOGRAM_BOUNDS; i++)
 		EXPECT_GT(tr_histogram_bound(i), tr_histogram_bound(i - 1));
--- a/tests/worktime_test.cc
+++ b/tests/worktime_test.cc
@@ -36,7 +36,7 @@
 	EXPECT_NEAR(tr_worktime_spread(&uneven), 0.8, 0.2);
 }
 
-TEST(Worktime, TheGuessCountsUntilThereAreAnswers)
+TEST(Worktime, ThePriorCountsUntilThereAreAnswers)
 {
 	tr_worktime w{};
 
@@ -48,18 +48,18 @@
 }
 
 /*
- * Symptom: at a service whose answers all take much the same time, a request
- * that hangs accuses its target only after four times as long, and others are
- * sent there meanwhile. Cause: the ages at which a running request is suspect
- * were those of work with an exponential tail, whatever the service.
+ * Guards against a hung request at a service with even response times counting
+ * as overdue only after four times as long, while other requests are sent to
+ * its target. The ages at which a running request is suspected were those of
+ * work with an exponential tail, whatever the service.
  */
-TEST(Worktime, EvenWorkIsSuspectSooner)
+TEST(Worktime, HangsAreDetectedEarlierAtEvenServices)
 {
 	tr_worktime even = learned(0.2, 100), uneven = learned(0.9, 100);
-	apr_time_t usual = TR_MSEC(240);
-	apr_time_t sooner = tr_gray_stage_start(TR_STAGE_OVERDUE, usual,
+	apr_time_t mean = TR_MSEC(240);
+	apr_time_t sooner = tr_gray_stage_start(TR_STAGE_OVERDUE, mean,
 						tr_worktime_spread(&even));
-	apr_time_t later = tr_gray_stage_start(TR_STAGE_OVERDUE, usual,
+	apr_time_t later = tr_gray_stage_start(TR_STAGE_OVERDUE, mean,
 					       tr_worktime_spread(&uneven));
 
 	EXPECT_LT(sooner, TR_MSEC(600));
