--- a/tests/roster_test.cc
+++ b/tests/roster_test.cc
@@ -53,9 +53,9 @@
 };
 
 /*
- * Symptom: a target that is leaving gets new work. Sequence: one reader tells
- * that it leaves, then a slower one tells what it read before. Cause: the later
- * telling is taken for the newer.
+ * Guards against a leaving target getting new requests: one reader reports that
+ * it leaves, then a slower one reports what it read before, and the later
+ * report is taken for the newer.
  */
 TEST_F(Roster, AnOlderRevisionChangesNothing)
 {
@@ -64,7 +64,7 @@
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
 }
 
-TEST_F(Roster, WhatIsGoneStaysGoneForOlderNews)
+TEST_F(Roster, OlderRecordsDoNotBringBackAGoneTarget)
 {
 	apply("a", 5);
 	apply("a", 9, false, true);
@@ -72,7 +72,7 @@
 	EXPECT_TRUE(row("a")->gone);
 }
 
-TEST_F(Roster, ATargetIsGoneAtOnceInCalmTimes)
+TEST_F(Roster, ATargetIsGoneAtOnceWithoutAnInterruption)
 {
 	apply("a", 5);
 	tr_roster_confirm(&roster, 5, 0, now);
@@ -81,12 +81,12 @@
 }
 
 /*
- * Symptom: after the store comes back nothing is served for two seconds.
- * Sequence: the store is away, leases run out, it returns with half of the
- * entries missing, and their targets register again within two seconds. Cause:
- * a missing entry was taken for a target that is gone.
+ * Guards against no target being usable for two seconds after the store comes
+ * back. Leases expire while it is unreachable, it returns with half of the
+ * entries missing, and their targets register again within two seconds. A
+ * missing entry was taken for a target that is gone.
  */
-TEST_F(Roster, AfterAnInterruptionMissingTargetsHaveTimeToRegister)
+TEST_F(Roster, MissingTargetsHaveAGracePeriodAfterAnInterruption)
 {
 	apply("a", 5);
 	tr_roster_confirm(&roster, 5, 0, now);
@@ -115,7 +115,7 @@
 	EXPECT_TRUE(tr_instance_usable(row("a"), now));
 }
 
-/* One that said that it leaves is not waited for. */
+/* A target that announced that it leaves gets no grace period. */
 TEST_F(Roster, ALeavingTargetDoesNotLapse)
 {
 	apply("a", 5, true);
@@ -126,14 +126,9 @@
 	EXPECT_TRUE(row("a")->gone);
 }
 
-/*
- * Symptom: a new target vanishes for a moment. Sequence: a list is read as of
- * revision 9, a target is added at 10 and heard of, then the list is applied.
- * Cause: what a list does not name was dropped though it is newer.
- */
-/* Guards against a platform that is behind: it calls a target ready that has
- * said itself that it leaves. */
-TEST_F(Roster, WhatATargetSaysOfItsEndOutlivesThePlatformsWord)
+/* Guards against a platform that is behind: it lists a target as ready that has
+ * announced that it leaves. */
+TEST_F(Roster, ATargetsOwnAnnouncementOverridesThePlatform)
 {
 	apply("a", 1);
 	EXPECT_TRUE(tr_roster_mark_leaving(&roster, row("a")));
@@ -141,7 +136,7 @@
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
 	apply("a", 2);
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
-	/* And it does not wait to be registered again after an interruption. */
+	/* It gets no grace period after an interruption either. */
 	tr_roster_confirm(&roster, 2, 0, now);
 	now += TR_SEC(9);
 	tr_roster_confirm(&roster, 3, 0, now);
@@ -152,14 +147,19 @@
 	EXPECT_EQ(roster.says_leaving_count, 0u);
 }
 
-TEST_F(Roster, AListDropsNothingThatIsNewer)
+/*
+ * Guards against a new target vanishing for a moment: a list is read as of
+ * revision 9, a target is added at 10 and reported, then the list is applied.
+ * Targets that are missing from a list were dropped though they are newer.
+ */
+TEST_F(Roster, AListDoesNotDropNewerTargets)
 {
 	apply("a", 10);
 	tr_roster_drop_unlisted(&roster, nullptr, 0, 9, now);
 	EXPECT_TRUE(tr_instance_usable(row("a"), now));
 }
 
-TEST_F(Roster, TheDigestIsThatOfTheListAndNotOfItsOrder)
+TEST_F(Roster, TheDigestDoesNotDependOnTheOrder)
 {
 	tr_roster other{};
 	tr_target_record a = record("a", 1);
@@ -176,11 +176,10 @@
 }
 
 /*
- * Symptom: requests end at targets of another service. Sequence: a target ends
- * and its row is used for a new one while a request still runs there. Cause:
- * the row was given away with work in flight.
+ * Guards against requests ending at targets of another service. A target ends
+ * while a request is in flight there, and its row is reused for a new target.
  */
-TEST_F(Roster, ARowWithWorkInFlightIsNotReused)
+TEST_F(Roster, ARowWithRequestsInFlightIsNotReused)
 {
 	apply("a", 1);
 	row("a")->in_flight = 1;
@@ -192,7 +191,7 @@
 	EXPECT_NE(row("a"), row("b"));
 }
 
-TEST_F(Roster, UsualTimesStartFromTheAimAndFollowAnswers)
+TEST_F(Roster, MeanTimesStartFromTheTargetLatency)
 {
 	uint32_t s = tr_roster_service(&roster, "svc");
 
@@ -206,13 +205,13 @@
 }
 
 /*
- * Symptom: targets that left three seconds ago get requests, and no VM steps in
- * for readers that the store turns away. Sequence: both readers fail; all VMs
- * hold the same list and tell each other its age every few milliseconds. Cause:
- * each takes over the least age that it is told, without the time of the way,
- * so the fleet's age stands still.
+ * Guards against targets that left three seconds ago getting requests while no
+ * VM takes over from readers that the store rejects. Both readers fail; all VMs
+ * have the same list and send each other its age every few milliseconds. Each
+ * adopted the least age it was sent without the delay of the message, so that
+ * the age did not grow.
  */
-TEST(RosterAge, VmsThatVouchForEachOtherGrowOldTogether)
+TEST(RosterAge, ListsConfirmedByPeersStillAge)
 {
 	tr_roster a{}, b{};
 	apr_time_t now = TR_SEC(100);
@@ -221,23 +220,23 @@
 	tr_roster_confirm(&b, 7, 0, now);
 	for (int i = 0; i < 1000; i++) {
 		tr_roster &from = i % 2 ? a : b, &to = i % 2 ? b : a;
-		apr_time_t told = (now - from.confirmed_at) / 1000 * 1000;
+		apr_time_t reported = (now - from.confirmed_at) / 1000 * 1000;
 
 		now += TR_MSEC(3);
-		tr_roster_confirm_from_peer(&to, 7, told, now);
+		tr_roster_confirm_from_peer(&to, 7, reported, now);
 	}
 	EXPECT_GE(now - a.confirmed_at, TR_MSEC(2900));
 	EXPECT_GE(now - b.confirmed_at, TR_MSEC(2900));
 }
 
 /*
- * Symptom: targets that left go on getting requests from all VMs but the reader
- * for seconds. Sequence: a reader asks the store; while it waits another VM
- * vouches for its list; the answer says that a target left. Cause: as the
- * answer was asked for before that, its revision was not taken over: the reader
- * told a list that seemed as old as the others', and nobody pulled it.
+ * Guards against targets that left getting requests for seconds from all VMs
+ * but the reader. A reader asks the store; while it waits another VM confirms
+ * its list; the answer says that a target left. As the request was older than
+ * the confirmation, the answer's revision was not adopted: the list that the
+ * reader announced seemed as old as the others', and no VM fetched it.
  */
-TEST(RosterAge, AnAnswerThatWasAskedForLongAgoStillMovesTheRevision)
+TEST(RosterAge, ALateAnswerStillAdvancesTheRevision)
 {
 	tr_roster r{};
 	apr_time_t now = TR_SEC(100);
@@ -249,8 +248,8 @@
 	EXPECT_GE(r.confirmed_at, now + TR_MSEC(300));
 }
 
-struct Lives : Roster {
-	bool apply_life(uint64_t born, uint64_t revision, bool leaving = false)
+struct RosterRestart : Roster {
+	bool apply_start(uint64_t born, uint64_t revision, bool leaving = false)
 	{
 		tr_target_record r = record("a", revision);
 
@@ -259,7 +258,7 @@
 		return tr_roster_apply(&roster, &r, now);
 	}
 
-	tr_instance *living()
+	tr_instance *latest()
 	{
 		for (unsigned i = 0; i < roster.count; i++)
 			if (roster.rows[i].used && !roster.rows[i].superseded)
@@ -269,84 +268,83 @@
 };
 
 /*
- * Symptom: a target that has started again gets nothing for seconds. Sequence:
- * it hangs with four requests, which VMs say of it; it crashes and is back
- * under its id. Cause: the evidence and the requests of the earlier process
- * were kept for the new one.
+ * Guards against a restarted target getting no requests for seconds. It hangs
+ * with four requests, which VMs report; it crashes and is back under its id.
+ * The evidence and the requests in flight of the earlier process were kept for
+ * the new one.
  */
-TEST_F(Lives, ATargetThatStartsAgainIsHeldToNothingOfBefore)
+TEST_F(RosterRestart, ARestartedTargetHasNoEarlierEvidence)
 {
-	apply_life(1000, 5);
-	tr_instance *before = living();
-	uint32_t old_name = before->hash;
+	apply_start(1000, 5);
+	tr_instance *before = latest();
+	uint32_t old_hash = before->hash;
 
 	tr_gray_add(&before->gray, TR_SYMPTOM_FAILED, 3, now);
 	before->in_flight = 2;
 	before->others_in_flight = 2;
 	before->full_until = now + TR_SEC(5);
-	ASSERT_TRUE(apply_life(2000, 6));
+	ASSERT_TRUE(apply_start(2000, 6));
 
-	const tr_instance *after = living();
+	const tr_instance *after = latest();
 
 	EXPECT_LT(tr_gray_probability(&after->gray, now), 0.1);
 	EXPECT_EQ(after->in_flight + after->others_in_flight, 0u);
 	EXPECT_EQ(after->full_until, 0);
-	EXPECT_NE(after->hash, old_name);
+	EXPECT_NE(after->hash, old_hash);
 	EXPECT_TRUE(tr_instance_usable(after, now));
 	EXPECT_FALSE(
-		tr_instance_usable(tr_roster_by_hash(&roster, old_name), now));
+		tr_instance_usable(tr_roster_by_hash(&roster, old_hash), now));
 }
 
 /*
- * Symptom: requests go to an address that its target no longer has. Sequence:
- * a target is started again and registers; a write of its earlier process,
- * which the store had held up, is taken in after that. Cause: the later
- * revision was taken for the later life.
+ * Guards against requests to an address that its target no longer has. A target
+ * restarts and registers; the store applies a delayed write of its earlier
+ * process after that. The later revision was taken for the later start.
  */
-TEST_F(Lives, AWriteOfAnEarlierLifeDoesNotComeBack)
+TEST_F(RosterRestart, ALateWriteOfAnEarlierStartIsIgnored)
 {
-	apply_life(2000, 5);
-	EXPECT_FALSE(apply_life(1000, 6, true));
-	EXPECT_FALSE(living()->leaving);
-	EXPECT_EQ(living()->born, 2000u);
+	apply_start(2000, 5);
+	EXPECT_FALSE(apply_start(1000, 6, true));
+	EXPECT_FALSE(latest()->leaving);
+	EXPECT_EQ(latest()->born, 2000u);
 }
 
-TEST_F(Lives, OldNewsFromAPeerDoesNotBringBackAnEarlierLife)
+TEST_F(RosterRestart, OldRecordsFromAPeerDoNotBringBackAnEarlierStart)
 {
-	apply_life(1000, 5);
-	apply_life(2000, 8);
-	EXPECT_FALSE(apply_life(1000, 5));
-	EXPECT_FALSE(apply_life(1000, 7));
-	EXPECT_EQ(living()->born, 2000u);
+	apply_start(1000, 5);
+	apply_start(2000, 8);
+	EXPECT_FALSE(apply_start(1000, 5));
+	EXPECT_FALSE(apply_start(1000, 7));
+	EXPECT_EQ(latest()->born, 2000u);
 }
 
-/* An id whose target told its start and an entry that does not is another
- * writer's: it names no target. */
-TEST_F(Lives, AnEntryThatLostItsStartNamesNoTarget)
+/* A record without a start time, of an id whose target reported one, comes from
+ * another writer and names no target. */
+TEST_F(RosterRestart, AnEntryWithoutItsStartTimeNamesNoTarget)
 {
-	apply_life(1000, 5);
+	apply_start(1000, 5);
 	apply("a", 6);
-	EXPECT_FALSE(tr_instance_usable(living(), now));
-	apply_life(1000, 7);
-	EXPECT_TRUE(tr_instance_usable(living(), now));
+	EXPECT_FALSE(tr_instance_usable(latest(), now));
+	apply_start(1000, 7);
+	EXPECT_TRUE(tr_instance_usable(latest(), now));
 }
 
-TEST_F(Lives, ListsWithDifferentLivesDiffer)
+TEST_F(RosterRestart, ListsWithDifferentStartsDiffer)
 {
-	apply_life(1000, 5);
+	apply_start(1000, 5);
 	uint64_t before = tr_roster_digest(&roster);
 
-	apply_life(2000, 6);
+	apply_start(2000, 6);
 	EXPECT_NE(tr_roster_digest(&roster), before);
 }
 
 /*
- * Symptom: requests go on to a target whose entry was overwritten. Sequence:
- * another writer puts nonsense under a target's key, just after the store was
- * away. Cause: what can't be read was passed over, and the row stayed; or it
- * was given the time that a lapsed entry has.
+ * Guards against requests to a target whose entry was overwritten. Another
+ * writer puts an unreadable value under its key, just after the store was
+ * unreachable. Unreadable entries were skipped and the row stayed, or it got
+ * the grace period of a lapsed entry.
  */
-TEST_F(Roster, ARefusedEntryTakesItsTargetOutAtOnce)
+TEST_F(Roster, ARejectedEntryRemovesItsTargetAtOnce)
 {
 	apply("a", 5);
 	apply("b", 6);
@@ -363,10 +361,10 @@
 }
 
 /*
- * Symptom: a VM runs out of memory. Sequence: another writer puts entries of
- * ever new services into the store. Cause: a table that grew by each name.
+ * Guards against a VM that runs out of memory because another writer puts
+ * entries of ever new services into the store: the table grew with each name.
  */
-TEST_F(Roster, AFloodOfServicesIsBounded)
+TEST_F(Roster, TheNumberOfServicesIsBounded)
 {
 	for (int i = 0; i < 6000; i++) {
 		tr_target_record r =
@@ -380,10 +378,10 @@
 }
 
 /*
- * Symptom: targets that nobody has used for some seconds get requests that must
- * run once, and fail a third of them. Sequence: three in ten are gray all the
- * time. Cause: what nothing is known of was held for well, whatever is known of
- * the others.
+ * Guards against targets that nobody has used for some seconds getting requests
+ * that must run once, and failing a third of them. Three in ten targets are
+ * gray all the time; a target without evidence counted as healthy whatever was
+ * known of the others.
  */
 TEST_F(Roster, TheShareOfGrayTargetsIsLearned)
 {
@@ -403,11 +401,11 @@
 }
 
 /*
- * Symptom: a VM that has just started ends with a fault. Sequence: the first
- * that it hears of any target is that one is gone. Cause: the row had no
- * service, and the first of no services was looked up.
+ * Guards against a crash of a VM that has just started. The first record that
+ * it gets of any target says that it is gone. The row had no service, and the
+ * first of no services was accessed.
  */
-TEST_F(Roster, AGoneTargetBeforeAnyServiceIsNoFault)
+TEST_F(Roster, AGoneTargetWithoutAServiceIsNoFault)
 {
 	apply("a", 5, false, true);
 	tr_roster_step(&roster, now);
@@ -417,7 +415,7 @@
 	EXPECT_FALSE(tr_instance_usable(row("a"), now));
 }
 
-TEST(Worked, TheAgeOfFailuresIsLearned)
+TEST(ServiceStats, TheAgeOfFailuresIsLearned)
 {
 	tr_service_stats s;
 
@@ -430,29 +428,29 @@
 	EXPECT_GT(tr_service_stats_failure_age(&s, TR_SEC(1)), TR_MSEC(500));
 }
 
-TEST(Worked, AQueueStandsOnceItHasLastedLongerThanABurst)
+TEST(ServiceStats, AQueueThatOutlastsABurstIsStanding)
 {
 	apr_time_t now = TR_SEC(10);
 	tr_service_stats s;
-	auto expects = [&](apr_time_t takes, apr_time_t span) {
+	auto track = [&](apr_time_t takes, apr_time_t span) {
 		for (apr_time_t end = now + span; now < end;
 		     now += TR_MSEC(100))
 			tr_service_stats_track_queue(&s, takes, TR_SEC(1), now);
 	};
 
 	tr_service_stats_init(&s, "svc");
-	expects(TR_MSEC(500), TR_SEC(2));
-	expects(TR_MSEC(1200), TR_MSEC(800));
+	track(TR_MSEC(500), TR_SEC(2));
+	track(TR_MSEC(1200), TR_MSEC(800));
 	EXPECT_FALSE(s.standing_queue);
-	expects(TR_MSEC(1200), TR_MSEC(800));
+	track(TR_MSEC(1200), TR_MSEC(800));
 	EXPECT_TRUE(s.standing_queue);
-	expects(TR_MSEC(900), TR_SEC(2));
+	track(TR_MSEC(900), TR_SEC(2));
 	EXPECT_TRUE(s.standing_queue);
-	expects(TR_MSEC(900), TR_SEC(3));
+	track(TR_MSEC(900), TR_SEC(3));
 	EXPECT_FALSE(s.standing_queue);
 }
 
-/* What is kept of the digest is what it would be if it were made anew. */
+/* The cached digest equals one that is computed anew. */
 TEST_F(Roster, TheDigestFollowsEachChange)
 {
 	tr_random random{ 11 };
@@ -483,10 +481,10 @@
 		}
 		tr_roster_step(&roster, now);
 
-		uint64_t kept = tr_roster_digest(&roster);
+		uint64_t cached = tr_roster_digest(&roster);
 
 		roster.digest_known = false;
-		ASSERT_EQ(kept, tr_roster_digest(&roster)) << revision;
+		ASSERT_EQ(cached, tr_roster_digest(&roster)) << revision;
 	}
 }
 
@@ -494,8 +492,9 @@
 	tr_random random{ 3 };
 	tr_list_check check{};
 
-	/* Another VM tells its list, which differs unless equal. */
-	bool told(uint64_t as_of, bool equal)
+	/* Another VM reports its list, which differs unless equal is set.
+	 * Returns whether this VM fetches the list. */
+	bool reported(uint64_t as_of, bool equal)
 	{
 		tr_list_report t{};
 
@@ -513,11 +512,11 @@
 };
 
 /*
- * Symptom: a target gets requests from a VM 9.7 s after it began to leave; the
- * VM's list is as old as its start. Sequence: several VMs miss the same
- * changes; each hears newer lists that differ, and the others' old ones that
- * are equal. Cause: an equal list was taken for a proof that nothing was
- * missed, however old it was.
+ * Guards against a target getting requests from a VM 9.7 s after it began to
+ * leave, where the VM's list is as old as its start. Several VMs miss the same
+ * changes; each is sent newer lists that differ, and old ones of the others
+ * that are equal. An equal list was taken for a proof that nothing was missed,
+ * however old it was.
  */
 TEST_F(ListCheck, AnEqualOldListIsNoProof)
 {
@@ -525,19 +524,19 @@
 
 	for (int i = 0; i < 20 && !fetch; i++) {
 		now += TR_MSEC(100);
-		fetch = told(20, false);
-		EXPECT_FALSE(told(10, true));
+		fetch = reported(20, false);
+		EXPECT_FALSE(reported(10, true));
 	}
 	EXPECT_TRUE(fetch);
 }
 
-TEST_F(ListCheck, WhatIsOnItsWayIsWaitedFor)
+TEST_F(ListCheck, ADifferenceThatMayBeInTransitIsWaitedFor)
 {
 	for (int i = 0; i < 50; i++) {
 		now += TR_MSEC(300);
-		EXPECT_FALSE(told(20 + i, false));
+		EXPECT_FALSE(reported(20 + i, false));
 		now += TR_MSEC(300);
-		EXPECT_FALSE(told(20 + i, true));
+		EXPECT_FALSE(reported(20 + i, true));
 	}
 }
 
@@ -545,7 +544,7 @@
 {
 	for (int i = 0; i < 50; i++) {
 		now += TR_MSEC(300);
-		EXPECT_FALSE(told(9, false));
+		EXPECT_FALSE(reported(9, false));
 	}
 }
 
