--- a/lib/floor.c
+++ b/lib/floor.c
@@ -1,6 +1,6 @@
 /*
  * Picks the requests that keep a service above its floor: a minimum share of
- * its healthy targets must have had a request lately, even those suspected to
+ * its healthy targets must have had a request recently, even those suspected to
  * be gray, because most gray spells end by themselves and nobody reports that.
  *
  * Operators leave out targets at which requests fail. If all VMs ended now,
@@ -126,13 +126,13 @@
 }
 
 /*
- * Adds one target of the service to the check. at is its row, risk the
- * probability that it is gray. fits tells whether a request could be sent to it
- * now.
+ * Adds one target of the service to the check. row_index is its row in the
+ * roster, risk the probability that it is gray. can_send tells whether a
+ * request could be sent to it now.
  */
 void tr_floor_check_add(struct tr_floor_check *check,
-			const struct tr_instance *row, uint32_t at, double risk,
-			bool fits, apr_time_t now)
+			const struct tr_instance *row, uint32_t row_index,
+			double risk, bool can_send, apr_time_t now)
 {
 	apr_time_t overdue = now - idle_since(check, row) - check->idle_after;
 	enum tr_floor_target_state state =
@@ -148,10 +148,10 @@
 	if (state != TR_FLOOR_IDLE)
 		return;
 	check->idle_healthy += healthy;
-	if (fits)
+	if (can_send)
 		add_idle(check,
 			 &(struct tr_floor_idle){
-				 .row = at,
+				 .row = row_index,
 				 .risk = risk,
 				 .remaining = overdue < SEND_WITHIN
 						      ? SEND_WITHIN - overdue
@@ -161,7 +161,7 @@
 			 });
 }
 
-/* Tells whether enough requests ended lately for their failure ratio to be
+/* Tells whether enough requests ended recently for their failure ratio to be
  * reliable. */
 static bool enough_outcomes(const struct tr_floor_check *check,
 			    const struct tr_floor_load *load)
@@ -259,8 +259,7 @@
 
 /*
  * Returns the row of the idle target that this request must go to so that the
- * floor is met, or TR_NO_ROW. drawn is a random number, uniform between 0 and
- * 1.
+ * floor is met, or TR_NO_ROW. uniform is a random number from 0 to 1.
  *
  * VMs take turns. Between two turns, and if this VM knows of no other, each
  * request may be the one that is sent, with a probability that grows to 1.
@@ -268,7 +267,7 @@
  * Targets past their deadline share the requests.
  */
 uint32_t tr_floor_check_pick(const struct tr_floor_check *check, double share,
-			     const struct tr_floor_load *load, double drawn)
+			     const struct tr_floor_load *load, double uniform)
 {
 	double missing;
 	double sum = 0;
@@ -281,10 +280,10 @@
 		sum += send_probability(check, &check->idle[n], load->rate);
 	}
 	if (sum > 1)
-		drawn *= sum;
+		uniform *= sum;
 	for (unsigned i = 0; i < n; i++) {
-		drawn -= send_probability(check, &check->idle[i], load->rate);
-		if (drawn < 0)
+		uniform -= send_probability(check, &check->idle[i], load->rate);
+		if (uniform < 0)
 			return check->idle[i].row;
 	}
 	return TR_NO_ROW;
--- a/lib/floor.h
+++ b/lib/floor.h
@@ -3,8 +3,8 @@
 
 /*
  * The floor of a service: the minimum share of its healthy targets that must
- * have had a request lately. A check looks at all targets of a service once and
- * picks the idle target, if any, that the next request must go to.
+ * have had a request recently. A check looks at all targets of a service once
+ * and picks the idle target, if any, that the next request must go to.
  */
 #include "roster.h"
 
@@ -54,7 +54,7 @@
 
 /* Recent requests of a service. */
 struct tr_floor_load {
-	/* How many ended lately. */
+	/* How many ended recently. */
 	double outcomes;
 	/* The share of these that failed, from 0 to 1. */
 	double failure_ratio;
@@ -64,9 +64,9 @@
 
 /* Whether a target counts as idle, or why it doesn't. */
 enum tr_floor_target_state {
-	/* It had a request lately. */
+	/* It had a request recently. */
 	TR_FLOOR_ACTIVE,
-	/* A request failed there lately. */
+	/* A request failed there recently. */
 	TR_FLOOR_FAILED_LATELY,
 	/* It was listed only just now. */
 	TR_FLOOR_NEW,
@@ -92,13 +92,13 @@
 tr_floor_target_state(const struct tr_floor_check *check,
 		      const struct tr_instance *row, apr_time_t now);
 void tr_floor_check_add(struct tr_floor_check *check,
-			const struct tr_instance *row, uint32_t at, double risk,
-			bool fits, apr_time_t now);
+			const struct tr_instance *row, uint32_t row_index,
+			double risk, bool can_send, apr_time_t now);
 enum tr_floor_verdict tr_floor_verdict(const struct tr_floor_check *check,
 				       double share,
 				       const struct tr_floor_load *load,
 				       double *missing);
 uint32_t tr_floor_check_pick(const struct tr_floor_check *check, double share,
-			     const struct tr_floor_load *load, double drawn);
+			     const struct tr_floor_load *load, double uniform);
 
 #endif
--- a/lib/gray.c
+++ b/lib/gray.c
@@ -13,9 +13,9 @@
 /* The probability that a target is gray before the prior is learned. */
 #define PRIOR 0.06
 /* The range of the log-odds. Beyond it further equal outcomes add no
- * information, and the way back must not take longer than a spell. The lower
+ * information, and recovery must not take longer than a spell lasts. The lower
  * bound is near the prior so that a target known to be healthy is not preferred
- * to one that nobody has used lately: with -5 most requests went to a few
+ * to one that was not used recently: with -5 most requests went to a few
  * targets, and five of six healthy ones got none for two seconds. */
 #define MAX_LOG_ODDS 5.0
 #define MIN_LOG_ODDS (-3.5)
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -11,8 +11,8 @@
 #include "hash.h"
 
 /* The list counts as interrupted if it was not confirmed for this long. Readers
- * ask the store three times a second, so that three reads have failed by then.
- */
+ * ask the store about three times a second, so that three reads have failed by
+ * then. */
 #define INTERRUPTION_MIN TR_MSEC(1000)
 /* The platform promises that entries which expired during an interruption are
  * registered again within about two seconds of its end; an entry that is still
@@ -127,7 +127,7 @@
 	return memset(&roster->rows[roster->count++], 0, sizeof(*grown));
 }
 
-/* Tells whether an interruption of the list ended so lately that entries of
+/* Tells whether an interruption of the list ended so recently that entries of
  * running targets may be missing. */
 static bool in_registration_grace(const struct tr_roster *roster,
 				  apr_time_t now)
@@ -136,7 +136,7 @@
 }
 
 /* Removes a target that is no longer listed: at once, or after a grace period
- * if the list was interrupted lately and the target may only have lapsed. */
+ * if the list was interrupted recently and the target may only have lapsed. */
 static void mark_gone_or_lapsed(struct tr_roster *roster,
 				struct tr_instance *row, apr_time_t now)
 {
--- a/lib/service_stats.c
+++ b/lib/service_stats.c
@@ -63,7 +63,7 @@
 		s->recent_successes += times;
 }
 
-/* Returns how many of the service's requests ended lately. */
+/* Returns how many of the service's requests ended recently. */
 double tr_service_stats_recent_outcomes(const struct tr_service_stats *s,
 					apr_time_t now)
 {
--- a/lib/service_stats.h
+++ b/lib/service_stats.h
@@ -19,7 +19,7 @@
 	double failure_age_us;
 	/* The learned share of its targets that are gray. */
 	double gray_share;
-	/* Requests that ended lately, with decay, as of recent_at. */
+	/* Requests that ended recently, with decay, as of recent_at. */
 	double recent_successes;
 	double recent_failures;
 	apr_time_t recent_at;
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -647,7 +647,7 @@
 	void run(apr_time_t length)
 	{
 		apr_time_t until = now + length;
-		double due = 0;
+		double credit = 0;
 
 		while (now < until) {
 			now += STEP;
@@ -656,8 +656,8 @@
 			advance_requests();
 			for (auto &vm : vms)
 				tr_roster_step(&vm->e.roster, now);
-			due += plan.rate * (double)STEP / 1e6;
-			for (; due >= 1; due--) {
+			credit += plan.rate * (double)STEP / 1e6;
+			for (; credit >= 1; credit--) {
 				requests++;
 				send(tr_random_below(&random, callers()), {});
 			}
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -270,7 +270,7 @@
 	void run(apr_time_t length, double per_second, double counted)
 	{
 		apr_time_t end = now + length;
-		double due = 0;
+		double credit = 0;
 
 		rate = per_second;
 		while (now < end) {
@@ -278,8 +278,8 @@
 			change_states();
 			advance_requests();
 			tr_roster_step(&roster, now);
-			due += per_second * (double)STEP / 1e6;
-			for (; due >= 1; due--)
+			credit += per_second * (double)STEP / 1e6;
+			for (; credit >= 1; credit--)
 				send();
 			if (now % TR_MSEC(500) < STEP && end - now < length / 2)
 				check_window(counted);
--- a/tests/floor_test.cc
+++ b/tests/floor_test.cc
@@ -33,7 +33,7 @@
 	 * row, the riskier the target. repeatable: the request may be repeated.
 	 */
 	uint32_t pick(double outcomes = 1000, bool repeatable = false,
-		      double failing = 0, double rate = 0, double drawn = 0)
+		      double failing = 0, double rate = 0, double uniform = 0)
 	{
 		const tr_floor_load load = { outcomes, failing, rate };
 		tr_floor_check check;
@@ -43,7 +43,7 @@
 			tr_floor_check_add(&check, &rows[i], i,
 					   0.4 * i / (double)rows.size(), true,
 					   now);
-		return tr_floor_check_pick(&check, 0.7, &load, drawn);
+		return tr_floor_check_pick(&check, 0.7, &load, uniform);
 	}
 };
 
--- a/tests/floor_turns_test.cc
+++ b/tests/floor_turns_test.cc
@@ -56,10 +56,10 @@
 		unsigned n = 0;
 
 		for (uint32_t i = 0; i < TARGETS; i++) {
-			bool asked = false;
+			bool sent = false;
 			double at = 0;
 
-			while (!asked) {
+			while (!sent) {
 				at -= std::log(1 - tr_random_unit(&random)) /
 				      rate;
 				if (at >= 1.98)
@@ -69,11 +69,11 @@
 					vms
 				};
 
-				asked = sends_request(i * 7919 + 1,
-						      (apr_time_t)(at * 1e6),
-						      turns, assumed);
+				sent = sends_request(i * 7919 + 1,
+						     (apr_time_t)(at * 1e6),
+						     turns, assumed);
 			}
-			n += !asked;
+			n += !sent;
 		}
 		return n;
 	}
@@ -85,12 +85,12 @@
 		const tr_repeat_bound bound = { 0.2, 62, TR_SEC(10), 1, 1 };
 		const apr_time_t changed_at = TR_SEC(100);
 		tr_allowance a{};
-		double due = 0;
+		double credit = 0;
 
 		for (apr_time_t at = changed_at - TR_SEC(20);
 		     at < changed_at + after; at += TR_MSEC(1)) {
-			due += (at < changed_at ? before : rate) / 1000;
-			for (; due >= 1; due--)
+			credit += (at < changed_at ? before : rate) / 1000;
+			for (; credit >= 1; credit--)
 				tr_allowance_request(&a, &bound, at);
 		}
 		return tr_allowance_rate(&a, &bound, changed_at + after);
