--- a/examples/embed.c
+++ b/examples/embed.c
@@ -82,7 +82,7 @@
 	board->random.state = 1;
 	snprintf(board->data_centre, sizeof(board->data_centre), "here");
 	tr_document_defaults(&doc);
-	svc = tr_board_attend(board, "demo");
+	svc = tr_board_add_service(board, "demo");
 	tr_service_set_document(board, svc, &doc, 1);
 	list_targets(entries);
 	tr_service_set_targets(board, svc, entries, TARGETS, 1);
--- a/lib/board.c
+++ b/lib/board.c
@@ -19,7 +19,8 @@
 }
 
 /* Begin to serve a service; NULL when no row is free. */
-struct tr_service *tr_board_attend(struct tr_board *board, const char *name)
+struct tr_service *tr_board_add_service(struct tr_board *board,
+					const char *name)
 {
 	struct tr_service *svc = tr_board_service(board, name);
 
@@ -31,7 +32,7 @@
 		svc->used = true;
 		snprintf(svc->name, sizeof(svc->name), "%s", name);
 		svc->id = tr_hash_string(name);
-		svc->attended_at = tr_clock_now(&board->clock);
+		svc->added_at = tr_clock_now(&board->clock);
 		tr_retry_init(&svc->retries);
 	}
 	return svc;
--- a/lib/board.h
+++ b/lib/board.h
@@ -15,17 +15,17 @@
 #include "latency.h"
 #include "retry.h"
 
-#define TR_MAX_SERVICES 64
-#define TR_LATENCY_ROWS 64
-#define TR_RETIRED	4
+#define TR_MAX_SERVICES	      64
+#define TR_LATENCY_ROWS	      64
+#define TR_RETIRED_PEER_BOOTS 4
 
 /* Times that all VMs of a fleet must agree on. */
-#define TR_TICK_CALM   TR_MSEC(2000)
-#define TR_TICK_BUSY   TR_MSEC(500)
-#define TR_TICK_URGENT TR_MSEC(100)
-#define TR_VOTE_TTL    TR_MSEC(6000)
-#define TR_ORDER_TTL   TR_MSEC(6000)
-#define TR_PEER_TTL    TR_MSEC(6000)
+#define TR_GOSSIP_PERIOD_IDLE	TR_MSEC(2000)
+#define TR_GOSSIP_PERIOD_ALERT	TR_MSEC(500)
+#define TR_GOSSIP_PERIOD_URGENT TR_MSEC(100)
+#define TR_VOTE_TTL		TR_MSEC(6000)
+#define TR_ORDER_TTL		TR_MSEC(6000)
+#define TR_PEER_TTL		TR_MSEC(6000)
 
 enum tr_order_kind {
 	TR_ORDER_NONE,
@@ -47,14 +47,14 @@
 	uint32_t vantages;
 	apr_time_t since;
 	apr_time_t hold_until;
-	apr_time_t promised_until;
+	apr_time_t lease_until;
 };
 
 /* A baseline detector's state for one target; each VM on its own. */
-struct tr_local_verdict {
-	unsigned in_a_row;
+struct tr_local_ejection {
+	unsigned consecutive_failures;
 	bool health_failed;
-	apr_time_t out_until;
+	apr_time_t ejected_until;
 	unsigned times;
 };
 
@@ -69,20 +69,20 @@
 	apr_time_t cold_until;
 	apr_time_t unreachable_until;
 	apr_time_t full_until;
-	apr_time_t trickle_at;
-	apr_time_t trickle_gap;
+	apr_time_t last_probe_at;
+	apr_time_t probe_interval;
 	uint32_t in_flight;
 	uint32_t home_slots;
 	uint32_t reported_load;
 	apr_time_t reported_at;
 	bool avoided;
 	apr_time_t held_at;
-	unsigned strikes;
-	apr_time_t struck_at;
+	unsigned eject_count;
+	apr_time_t last_ejected_at;
 	struct tr_evidence evidence;
 	struct tr_order order;
 	struct tr_grant grant;
-	struct tr_local_verdict local;
+	struct tr_local_ejection local;
 	uint64_t sent;
 	uint64_t answered;
 	uint64_t refused;
@@ -100,14 +100,14 @@
 	bool suspects_itself;
 	bool confirmed;
 	struct tr_boot boot;
-	struct tr_boot retired[TR_RETIRED];
+	struct tr_boot retired[TR_RETIRED_PEER_BOOTS];
 	unsigned retired_at;
 	uint64_t sequence;
 	apr_time_t heard_at;
-	apr_time_t their_sent_at;
-	apr_time_t echoed;
+	apr_time_t peer_sent_at;
+	apr_time_t last_echo_at;
 	apr_time_t vote_until;
-	apr_time_t sent_to_at;
+	apr_time_t last_sent_at;
 	uint64_t document_revision;
 	uint64_t targets_revision;
 };
@@ -147,13 +147,13 @@
 	uint64_t targets_revision;
 	bool confirmed;
 	bool confirmed_alone;
-	apr_time_t attended_at;
+	apr_time_t added_at;
 	apr_time_t needed_until;
 	uint32_t users;
 	struct tr_cell cell;
 	bool in_cell;
 	bool was_in_cell;
-	bool platform_said_none;
+	bool platform_has_none;
 	unsigned targets_count;
 	struct tr_target targets[TR_MAX_TARGETS];
 	unsigned peers_count;
@@ -162,13 +162,13 @@
 	const struct tr_detector_ops *detector;
 	double base_rate;
 	bool shared_fault;
-	uint32_t shared_from;
+	uint32_t shared_fault_vantages;
 	double outcomes_per_day;
 	double outcomes_window;
 	apr_time_t outcomes_at;
 	struct tr_vote vote;
 	bool raised;
-	apr_time_t urgent_at;
+	apr_time_t last_urgent_at;
 	struct tr_latency latency[TR_LATENCY_ROWS];
 	struct tr_retry_budget retries;
 	struct tr_queue queue;
@@ -198,7 +198,8 @@
 
 struct tr_service *tr_board_service(struct tr_board *board, const char *name);
 struct tr_service *tr_board_service_by_id(struct tr_board *board, uint64_t id);
-struct tr_service *tr_board_attend(struct tr_board *board, const char *name);
+struct tr_service *tr_board_add_service(struct tr_board *board,
+					const char *name);
 int tr_board_vantage(const struct tr_board *board,
 		     const struct tr_service *svc);
 struct tr_target *tr_service_target(struct tr_service *svc, uint32_t id);
--- a/lib/detector.c
+++ b/lib/detector.c
@@ -33,18 +33,18 @@
  * cell, times its VMs.
  */
 static void adjust_trickle(const struct tr_service *svc,
-			   struct tr_target *target, enum tr_sign sign)
+			   struct tr_target *target, enum tr_signal sign)
 {
 	apr_time_t vms = svc->cell.count ? (apr_time_t)svc->cell.count : 1;
 
-	if (sign == TR_SIGN_WELL)
-		target->trickle_gap = target->trickle_gap / 4 * 3;
+	if (sign == TR_SIGNAL_SUCCESS)
+		target->probe_interval = target->probe_interval / 4 * 3;
 	else
-		target->trickle_gap *= 2;
-	if (target->trickle_gap < GAP_LEAST * vms)
-		target->trickle_gap = GAP_LEAST * vms;
-	if (target->trickle_gap > GAP_MOST * vms)
-		target->trickle_gap = GAP_MOST * vms;
+		target->probe_interval *= 2;
+	if (target->probe_interval < GAP_LEAST * vms)
+		target->probe_interval = GAP_LEAST * vms;
+	if (target->probe_interval > GAP_MOST * vms)
+		target->probe_interval = GAP_MOST * vms;
 }
 
 /* This VM's place in the cell, so that trickles of its VMs do not clump. */
@@ -69,23 +69,23 @@
 	apr_time_t step = TR_MSEC(svc->document->ejection.detect_ms) /
 			  TRICKLES_A_DETECTION;
 
-	target->trickle_gap = step * vms;
-	target->trickle_at = now - step * place_in_cell(board, svc);
+	target->probe_interval = step * vms;
+	target->last_probe_at = now - step * place_in_cell(board, svc);
 }
 
 static void cusum_outcome(struct tr_board *board, struct tr_service *svc,
-			  struct tr_target *target, enum tr_sign sign,
+			  struct tr_target *target, enum tr_signal sign,
 			  apr_time_t now)
 {
-	struct tr_batch batch = {
+	struct tr_outcome_batch batch = {
 		.source = TR_SOURCE_SELF,
 		.vantage = tr_board_vantage(board, svc),
-		.well = sign == TR_SIGN_WELL,
-		.bad = sign == TR_SIGN_BAD,
-		.bad_run = sign == TR_SIGN_BAD,
+		.well = sign == TR_SIGNAL_SUCCESS,
+		.bad = sign == TR_SIGNAL_FAILURE,
+		.bad_run = sign == TR_SIGNAL_FAILURE,
 	};
 
-	if (sign == TR_SIGN_NONE)
+	if (sign == TR_SIGNAL_NONE)
 		return;
 	if (target->avoided || target->order.kind != TR_ORDER_NONE)
 		adjust_trickle(svc, target, sign);
@@ -97,8 +97,8 @@
 	if (batch.bad && !target->avoided &&
 	    target->order.kind == TR_ORDER_NONE &&
 	    target->evidence.all > svc->rules.avoid * URGENT_SHARE &&
-	    now - svc->urgent_at >= URGENT_GAP)
-		svc->urgent_at = now;
+	    now - svc->last_urgent_at >= URGENT_GAP)
+		svc->last_urgent_at = now;
 	svc->outcomes_window += 1;
 }
 
@@ -147,8 +147,8 @@
 	}
 	svc->outcomes_window = 0;
 	svc->outcomes_at = now;
-	tr_rules_make(&svc->rules, &svc->document->ejection,
-		      svc->outcomes_per_day);
+	tr_evidence_rules_init(&svc->rules, &svc->document->ejection,
+			       svc->outcomes_per_day);
 }
 
 static void update_base_rate(struct tr_service *svc)
@@ -192,25 +192,26 @@
 	unsigned half = (svc->targets_count + 1) / 2;
 
 	svc->shared_fault = count_above(svc, -1) >= half;
-	svc->shared_from = 0;
+	svc->shared_fault_vantages = 0;
 	for (int v = 0; v < TR_MAX_VANTAGES; v++)
 		if (count_above(svc, v) >= half)
-			svc->shared_from |= 1U << v;
+			svc->shared_fault_vantages |= 1U << v;
 }
 
 /*
  * From which vantages is there enough against the target for the fleet to stop
  * using it? 0: from none.
  */
-uint32_t tr_detector_accused(const struct tr_service *svc,
-			     const struct tr_target *target, apr_time_t now)
+uint32_t tr_detector_sick_vantages(const struct tr_service *svc,
+				   const struct tr_target *target,
+				   apr_time_t now)
 {
 	uint32_t from =
-		tr_evidence_accused(&target->evidence, &svc->rules, now);
+		tr_evidence_sick_vantages(&target->evidence, &svc->rules, now);
 
 	if (from == TR_EVERY_VANTAGE)
 		return svc->shared_fault ? 0 : from;
-	return from & ~svc->shared_from;
+	return from & ~svc->shared_fault_vantages;
 }
 
 static void update_avoided(struct tr_board *board, struct tr_service *svc,
@@ -259,7 +260,7 @@
 	unsigned out = 0;
 
 	for (unsigned i = 0; i < svc->targets_count; i++)
-		out += svc->targets[i].local.out_until > now;
+		out += svc->targets[i].local.ejected_until > now;
 	return out;
 }
 
@@ -268,38 +269,39 @@
 {
 	unsigned most = svc->targets_count * LOCAL_MOST_PERCENT / 100;
 
-	if (target->local.out_until > now)
+	if (target->local.ejected_until > now)
 		return;
 	if (local_out(svc, now) >= (most ? most : 1))
 		return;
 	target->local.times++;
-	target->local.out_until = now + ROW_OUT * target->local.times;
+	target->local.ejected_until = now + ROW_OUT * target->local.times;
 	svc->counts.ejections++;
 	tr_board_event(board, TR_EVENT_EJECT, svc->name, target->name,
 		       "%s, this VM alone", svc->detector->name);
 }
 
 static void row_outcome(struct tr_board *board, struct tr_service *svc,
-			struct tr_target *target, enum tr_sign sign,
+			struct tr_target *target, enum tr_signal sign,
 			apr_time_t now)
 {
-	if (sign == TR_SIGN_WELL)
-		target->local.in_a_row = 0;
-	if (sign != TR_SIGN_BAD || ++target->local.in_a_row < ROW_IN_A_ROW)
+	if (sign == TR_SIGNAL_SUCCESS)
+		target->local.consecutive_failures = 0;
+	if (sign != TR_SIGNAL_FAILURE ||
+	    ++target->local.consecutive_failures < ROW_IN_A_ROW)
 		return;
-	target->local.in_a_row = 0;
+	target->local.consecutive_failures = 0;
 	local_eject(board, svc, target, now);
 }
 
 static void rate_outcome(struct tr_board *board, struct tr_service *svc,
-			 struct tr_target *target, enum tr_sign sign,
+			 struct tr_target *target, enum tr_signal sign,
 			 apr_time_t now)
 {
 	(void)board;
 	(void)svc;
 	(void)now;
-	target->evidence.recent_well += sign == TR_SIGN_WELL;
-	target->evidence.recent_bad += sign == TR_SIGN_BAD;
+	target->evidence.recent_well += sign == TR_SIGNAL_SUCCESS;
+	target->evidence.recent_bad += sign == TR_SIGNAL_FAILURE;
 }
 
 static double success_rate(const struct tr_evidence *ev)
@@ -344,15 +346,16 @@
 static void health_health(struct tr_board *board, struct tr_service *svc,
 			  struct tr_target *target, bool well, apr_time_t now)
 {
-	target->local.in_a_row = well ? 0 : target->local.in_a_row + 1;
+	target->local.consecutive_failures =
+		well ? 0 : target->local.consecutive_failures + 1;
 	if (well)
-		target->local.out_until = 0;
-	else if (target->local.in_a_row >= HEALTH_IN_A_ROW)
+		target->local.ejected_until = 0;
+	else if (target->local.consecutive_failures >= HEALTH_IN_A_ROW)
 		local_eject(board, svc, target, now);
 }
 
 static void ignore_outcome(struct tr_board *board, struct tr_service *svc,
-			   struct tr_target *target, enum tr_sign sign,
+			   struct tr_target *target, enum tr_signal sign,
 			   apr_time_t now)
 {
 	(void)board;
--- a/lib/detector.h
+++ b/lib/detector.h
@@ -4,10 +4,10 @@
 #include "board.h"
 
 /* One outcome of an attempt, as far as it speaks of the target. */
-enum tr_sign {
-	TR_SIGN_WELL,
-	TR_SIGN_BAD,
-	TR_SIGN_NONE,
+enum tr_signal {
+	TR_SIGNAL_SUCCESS,
+	TR_SIGNAL_FAILURE,
+	TR_SIGNAL_NONE,
 };
 
 /* What varies between the ways to detect a sick target. */
@@ -15,7 +15,7 @@
 	const char *name;
 	bool fleet;
 	void (*outcome)(struct tr_board *board, struct tr_service *svc,
-			struct tr_target *target, enum tr_sign sign,
+			struct tr_target *target, enum tr_signal sign,
 			apr_time_t now);
 	void (*health)(struct tr_board *board, struct tr_service *svc,
 		       struct tr_target *target, bool well, apr_time_t now);
@@ -25,7 +25,8 @@
 
 const struct tr_detector_ops *tr_detector(enum tr_detector_kind kind);
 const struct tr_detector_ops *tr_detector_by_name(const char *name);
-uint32_t tr_detector_accused(const struct tr_service *svc,
-			     const struct tr_target *target, apr_time_t now);
+uint32_t tr_detector_sick_vantages(const struct tr_service *svc,
+				   const struct tr_target *target,
+				   apr_time_t now);
 
 #endif
--- a/lib/evidence.c
+++ b/lib/evidence.c
@@ -28,9 +28,9 @@
  * accepts less than one a day is also slower to take a failure for more than
  * the noise that healthy targets show.
  */
-void tr_rules_make(struct tr_evidence_rules *rules,
-		   const struct tr_ejection_rules *team,
-		   double outcomes_per_day)
+void tr_evidence_rules_init(struct tr_evidence_rules *rules,
+			    const struct tr_ejection_rules *team,
+			    double outcomes_per_day)
 {
 	double a_day = outcomes_per_day > LEAST_PER_DAY ? outcomes_per_day
 							: LEAST_PER_DAY;
@@ -72,13 +72,13 @@
  */
 static bool failing_still(const struct tr_evidence *ev, apr_time_t now)
 {
-	apr_time_t well_at = 0;
+	apr_time_t last_success_at = 0;
 
 	for (int i = 0; i < TR_MAX_VANTAGES; i++)
-		if (ev->well_at[i] > well_at)
-			well_at = ev->well_at[i];
-	return ev->bad_at && now - ev->bad_at < FAILING_US &&
-	       ev->bad_at - well_at > FAILING_LEAST_US;
+		if (ev->last_success_at[i] > last_success_at)
+			last_success_at = ev->last_success_at[i];
+	return ev->last_failure_at && now - ev->last_failure_at < FAILING_US &&
+	       ev->last_failure_at - last_success_at > FAILING_LEAST_US;
 }
 
 /*
@@ -98,7 +98,7 @@
 	return (double)FRESH_US / (double)gap;
 }
 
-static bool has_vantage(const struct tr_batch *batch)
+static bool has_vantage(const struct tr_outcome_batch *batch)
 {
 	return batch->vantage >= 0 && batch->vantage < TR_MAX_VANTAGES;
 }
@@ -108,15 +108,16 @@
  * than the failures: it was told late, by a VM that had said nothing since they
  * began.
  */
-static void note_failing(struct tr_evidence *ev, const struct tr_batch *batch,
-			 double fresh, apr_time_t now)
+static void note_failing(struct tr_evidence *ev,
+			 const struct tr_outcome_batch *batch, double fresh,
+			 apr_time_t now)
 {
 	bool is_newer =
 		fresh >= 1 || ev->source_at[batch->source] >= ev->failing_since;
 	apr_time_t *from = NULL;
 
 	if (has_vantage(batch))
-		from = &ev->failing_from[batch->vantage];
+		from = &ev->failing_since_from[batch->vantage];
 	if (batch->well && is_newer) {
 		ev->failing_since = 0;
 		if (from)
@@ -131,13 +132,14 @@
 }
 
 /* When the sum began to rise, and from where good outcomes came since. */
-static void note_times(struct tr_evidence *ev, const struct tr_batch *batch,
-		       double fresh, apr_time_t now)
+static void note_times(struct tr_evidence *ev,
+		       const struct tr_outcome_batch *batch, double fresh,
+		       apr_time_t now)
 {
 	if (batch->bad && ev->all < RISEN)
-		ev->risen_at = now;
+		ev->rising_since = now;
 	if (batch->well && !batch->bad_run && fresh >= 1 && has_vantage(batch))
-		ev->well_at[batch->vantage] = now;
+		ev->last_success_at[batch->vantage] = now;
 }
 
 /*
@@ -145,8 +147,9 @@
  * target's own peers show now: a fault that all share is no evidence against
  * one of them.
  */
-void tr_evidence_add(struct tr_evidence *ev, const struct tr_batch *batch,
-		     double base_rate, apr_time_t now)
+void tr_evidence_add(struct tr_evidence *ev,
+		     const struct tr_outcome_batch *batch, double base_rate,
+		     apr_time_t now)
 {
 	struct steps steps = steps_of(base_rate);
 	double fresh = freshness(ev, batch->source, now);
@@ -166,11 +169,11 @@
 	ev->source_at[batch->source] = now;
 	ev->vantage_of[batch->source] = batch->vantage;
 	if (batch->bad)
-		ev->bad_at = now;
+		ev->last_failure_at = now;
 	ev->recent_well += batch->well;
 	ev->recent_bad += batch->bad;
-	ev->latest_well += batch->well * fresh;
-	ev->latest_bad += bad_now;
+	ev->last_second_well += batch->well * fresh;
+	ev->last_second_bad += bad_now;
 }
 
 /*
@@ -178,10 +181,11 @@
  * doubled and reordered messages harmless: a smaller total is an old message
  * and gives false.
  */
-bool tr_evidence_heard(struct tr_evidence *ev, unsigned source,
-		       struct tr_counts total, struct tr_batch *batch)
+bool tr_evidence_diff_totals(struct tr_evidence *ev, unsigned source,
+			     struct tr_outcome_totals total,
+			     struct tr_outcome_batch *batch)
 {
-	struct tr_counts *last = &ev->heard[source];
+	struct tr_outcome_totals *last = &ev->heard[source];
 
 	if (total.well < last->well || total.bad < last->bad)
 		return false;
@@ -222,8 +226,8 @@
 		ev->by_source[i] *= (float)keep_sums;
 	ev->recent_well *= keep;
 	ev->recent_bad *= keep;
-	ev->latest_well *= keep_latest;
-	ev->latest_bad *= keep_latest;
+	ev->last_second_well *= keep_latest;
+	ev->last_second_bad *= keep_latest;
 }
 
 /* Drop the sums but not the totals, when a target is given another chance. */
@@ -234,8 +238,8 @@
 	memset(ev->by_source, 0, sizeof(ev->by_source));
 	ev->recent_well = 0;
 	ev->recent_bad = 0;
-	ev->latest_well = 0;
-	ev->latest_bad = 0;
+	ev->last_second_well = 0;
+	ev->last_second_bad = 0;
 }
 
 /* A source was replaced by another process, whose totals start at zero. */
@@ -252,19 +256,22 @@
  * of it did, in us; 0 when something went well since. A vantage that began
  * later does not make it shorter.
  */
-apr_time_t tr_evidence_failing_for(const struct tr_evidence *ev, uint32_t from)
+apr_time_t tr_evidence_failing_duration(const struct tr_evidence *ev,
+					uint32_t from)
 {
 	apr_time_t since = 0;
 
 	if (from == TR_EVERY_VANTAGE)
 		since = ev->failing_since;
 	for (int v = 0; v < TR_MAX_VANTAGES && from != TR_EVERY_VANTAGE; v++) {
-		apr_time_t at = from & 1U << v ? ev->failing_from[v] : 0;
+		apr_time_t at = from & 1U << v ? ev->failing_since_from[v] : 0;
 
 		if (at && (!since || at < since))
 			since = at;
 	}
-	return since && ev->bad_at > since ? ev->bad_at - since : 0;
+	return since && ev->last_failure_at > since
+		       ? ev->last_failure_at - since
+		       : 0;
 }
 
 /* The share of recent outcomes that were bad, drawn to 0 while few. */
@@ -276,7 +283,8 @@
 /* The same over the last second or so, for what breaks out all at once. */
 double tr_evidence_latest_rate(const struct tr_evidence *ev)
 {
-	return ev->latest_bad / (ev->latest_bad + ev->latest_well + RATE_PRIOR);
+	return ev->last_second_bad /
+	       (ev->last_second_bad + ev->last_second_well + RATE_PRIOR);
 }
 
 /* How many VMs have spoken of a target lately, and how many against it. */
@@ -312,9 +320,9 @@
  * once, and they are then not drawn apart, as the sums take them to be. One
  * would notice by healthy targets ejected whenever one VM has trouble.
  */
-uint32_t tr_evidence_accused(const struct tr_evidence *ev,
-			     const struct tr_evidence_rules *rules,
-			     apr_time_t now)
+uint32_t tr_evidence_sick_vantages(const struct tr_evidence *ev,
+				   const struct tr_evidence_rules *rules,
+				   apr_time_t now)
 {
 	struct tally by_vantage[TR_MAX_VANTAGES] = { { 0, 0 } };
 	unsigned active = 0;
@@ -330,7 +338,8 @@
 		active += t->active;
 		accusing += t->accusing;
 		against += t->accusing > 0;
-		refuting += !t->accusing && ev->well_at[v] > ev->risen_at;
+		refuting += !t->accusing &&
+			    ev->last_success_at[v] > ev->rising_since;
 		if (ev->here[v] >= rules->sick &&
 		    (t->accusing >= 2 || t->active < 2))
 			sick_from |= 1U << v;
--- a/lib/evidence.h
+++ b/lib/evidence.h
@@ -9,7 +9,7 @@
 
 /* Outcomes since the process started, which only grow; and how many bad ones
  * came after the last good one. */
-struct tr_counts {
+struct tr_outcome_totals {
 	uint32_t well;
 	uint32_t bad;
 	uint32_t bad_run;
@@ -27,11 +27,12 @@
  * log-likelihood that it is sick: over the whole cell, and of one vantage (a
  * data centre) each. Sums of several VMs add up, since their outcomes are
  * drawn apart from each other. failing_since is when all that it got began to
- * fail, and failing_from the same from each vantage; 0 after a good outcome.
+ * fail, and failing_since_from the same from each vantage; 0 after a good
+ * outcome.
  */
 struct tr_evidence {
-	struct tr_counts own;
-	struct tr_counts heard[TR_SOURCES];
+	struct tr_outcome_totals own;
+	struct tr_outcome_totals heard[TR_SOURCES];
 	bool heard_before[TR_SOURCES];
 	int vantage_of[TR_SOURCES];
 	float by_source[TR_SOURCES];
@@ -40,14 +41,14 @@
 	double here[TR_MAX_VANTAGES];
 	double recent_well;
 	double recent_bad;
-	double latest_well;
-	double latest_bad;
+	double last_second_well;
+	double last_second_bad;
 	apr_time_t decayed_at;
-	apr_time_t bad_at;
-	apr_time_t risen_at;
+	apr_time_t last_failure_at;
+	apr_time_t rising_since;
 	apr_time_t failing_since;
-	apr_time_t failing_from[TR_MAX_VANTAGES];
-	apr_time_t well_at[TR_MAX_VANTAGES];
+	apr_time_t failing_since_from[TR_MAX_VANTAGES];
+	apr_time_t last_success_at[TR_MAX_VANTAGES];
 };
 
 /* When evidence is enough; made from the team's document. */
@@ -58,7 +59,7 @@
 };
 
 /* One batch of outcomes of one source, seen from one vantage. */
-struct tr_batch {
+struct tr_outcome_batch {
 	unsigned source;
 	int vantage;
 	uint32_t well;
@@ -66,22 +67,25 @@
 	uint32_t bad_run;
 };
 
-void tr_rules_make(struct tr_evidence_rules *rules,
-		   const struct tr_ejection_rules *team,
-		   double outcomes_per_day);
-void tr_evidence_add(struct tr_evidence *ev, const struct tr_batch *batch,
-		     double base_rate, apr_time_t now);
-bool tr_evidence_heard(struct tr_evidence *ev, unsigned source,
-		       struct tr_counts total, struct tr_batch *batch);
+void tr_evidence_rules_init(struct tr_evidence_rules *rules,
+			    const struct tr_ejection_rules *team,
+			    double outcomes_per_day);
+void tr_evidence_add(struct tr_evidence *ev,
+		     const struct tr_outcome_batch *batch, double base_rate,
+		     apr_time_t now);
+bool tr_evidence_diff_totals(struct tr_evidence *ev, unsigned source,
+			     struct tr_outcome_totals total,
+			     struct tr_outcome_batch *batch);
 void tr_evidence_decay(struct tr_evidence *ev, apr_time_t now);
 void tr_evidence_clear(struct tr_evidence *ev);
 void tr_evidence_forget_source(struct tr_evidence *ev, unsigned source);
-apr_time_t tr_evidence_failing_for(const struct tr_evidence *ev, uint32_t from);
+apr_time_t tr_evidence_failing_duration(const struct tr_evidence *ev,
+					uint32_t from);
 double tr_evidence_rate(const struct tr_evidence *ev);
 double tr_evidence_latest_rate(const struct tr_evidence *ev);
-uint32_t tr_evidence_accused(const struct tr_evidence *ev,
-			     const struct tr_evidence_rules *rules,
-			     apr_time_t now);
+uint32_t tr_evidence_sick_vantages(const struct tr_evidence *ev,
+				   const struct tr_evidence_rules *rules,
+				   apr_time_t now);
 double tr_evidence_base_rate(const double *rates, unsigned count, double least);
 
 #endif
--- a/lib/gossip.c
+++ b/lib/gossip.c
@@ -9,7 +9,7 @@
 static bool is_urgent(const struct tr_service *svc,
 		      const struct tr_target *target, apr_time_t now)
 {
-	return target->avoided || tr_target_raised(svc, target, now) ||
+	return target->avoided || tr_target_is_suspect(svc, target, now) ||
 	       target->grant.kind != TR_ORDER_NONE ||
 	       target->order.kind != TR_ORDER_NONE;
 }
@@ -59,7 +59,7 @@
 		order->target = target->id;
 		order->kind = target->grant.kind;
 		order->vantages = target->grant.vantages;
-		target->grant.promised_until = now + TR_ORDER_TTL;
+		target->grant.lease_until = now + TR_ORDER_TTL;
 	}
 }
 
@@ -77,7 +77,7 @@
 	msg->boot = board->boot;
 	msg->sequence = sequence;
 	msg->sent_at = now;
-	msg->echo = peer->their_sent_at;
+	msg->echo = peer->peer_sent_at;
 	if (board->events)
 		msg->hlc = tr_hlc_tick(&board->events->clock,
 				       board->wall(board->wall_ctx));
@@ -98,7 +98,7 @@
 		msg->flags |= TR_GOSSIP_OWNER;
 		add_orders(svc, msg, now);
 	}
-	peer->sent_to_at = now;
+	peer->last_sent_at = now;
 }
 
 static void take_rows(struct tr_service *svc, const struct tr_peer *peer,
@@ -109,11 +109,12 @@
 	for (uint32_t i = 0; i < msg->rows_count; i++) {
 		const struct tr_gossip_row *row = &msg->rows[i];
 		struct tr_target *target = tr_service_target(svc, row->target);
-		struct tr_counts total = { row->well, row->bad, row->bad_run };
-		struct tr_batch batch = { .vantage = peer->vantage };
+		struct tr_outcome_totals total = { row->well, row->bad,
+						   row->bad_run };
+		struct tr_outcome_batch batch = { .vantage = peer->vantage };
 
-		if (!target || !tr_evidence_heard(&target->evidence, source,
-						  total, &batch))
+		if (!target || !tr_evidence_diff_totals(&target->evidence,
+							source, total, &batch))
 			continue;
 		if (peer->suspects_itself)
 			continue;
@@ -125,8 +126,8 @@
  * Take in a message of a peer. TR_OK; TR_NO_SERVICE when this VM does not
  * serve the service or the sender is not of its cell; TR_STALE_DATAGRAM.
  */
-enum tr_result tr_gossip_take(struct tr_board *board,
-			      const struct tr_gossip *msg)
+enum tr_result tr_gossip_receive(struct tr_board *board,
+				 const struct tr_gossip *msg)
 {
 	struct tr_service *svc = tr_board_service(board, msg->service);
 	apr_time_t now = tr_clock_now(&board->clock);
@@ -138,32 +139,35 @@
 	peer = tr_member_find(svc, msg->from);
 	if (!peer)
 		return TR_NO_SERVICE;
-	res = tr_member_heard(board, svc, peer, msg, now);
+	res = tr_member_receive(board, svc, peer, msg, now);
 	if (res != TR_OK)
 		return res;
 	if (board->events)
 		tr_hlc_merge(&board->events->clock, msg->hlc,
 			     board->wall(board->wall_ctx));
 	take_rows(svc, peer, msg, now);
-	tr_permit_voted(svc, peer, msg->flags & TR_GOSSIP_VOTES_FOR_YOU, now);
-	tr_permit_take(board, svc, peer, msg, now);
+	tr_permit_receive_vote(svc, peer, msg->flags & TR_GOSSIP_VOTES_FOR_YOU,
+			       now);
+	tr_permit_receive_orders(board, svc, peer, msg, now);
 	return TR_OK;
 }
 
 /*
  * Is it time to send to the peer? While something is wrong a message goes out
  * twice a second, at once when a target begins to fail, else every
- * TR_TICK_CALM: detection is quick when it matters and the bytes stay low when
- * it does not. within_budget: with it overdrawn only the calm period holds.
+ * TR_GOSSIP_PERIOD_IDLE: detection is quick when it matters and the bytes stay
+ * low when it does not. within_budget: with it overdrawn only the calm period
+ * holds.
  */
 bool tr_gossip_due(const struct tr_service *svc, const struct tr_peer *peer,
 		   bool within_budget, apr_time_t now)
 {
-	apr_time_t tick = svc->raised ? TR_TICK_BUSY : TR_TICK_CALM;
+	apr_time_t tick =
+		svc->raised ? TR_GOSSIP_PERIOD_ALERT : TR_GOSSIP_PERIOD_IDLE;
 
-	if (svc->urgent_at > peer->sent_to_at)
-		tick = TR_TICK_URGENT;
+	if (svc->last_urgent_at > peer->last_sent_at)
+		tick = TR_GOSSIP_PERIOD_URGENT;
 	if (!within_budget)
-		tick = TR_TICK_CALM;
-	return now - peer->sent_to_at >= tick;
+		tick = TR_GOSSIP_PERIOD_IDLE;
+	return now - peer->last_sent_at >= tick;
 }
--- a/lib/gossip.h
+++ b/lib/gossip.h
@@ -53,8 +53,8 @@
 void tr_gossip_build(struct tr_board *board, struct tr_service *svc,
 		     struct tr_peer *peer, uint64_t sequence,
 		     struct tr_gossip *msg);
-enum tr_result tr_gossip_take(struct tr_board *board,
-			      const struct tr_gossip *msg);
+enum tr_result tr_gossip_receive(struct tr_board *board,
+				 const struct tr_gossip *msg);
 bool tr_gossip_due(const struct tr_service *svc, const struct tr_peer *peer,
 		   bool within_budget, apr_time_t now);
 
--- a/lib/member.c
+++ b/lib/member.c
@@ -88,7 +88,7 @@
  * changed. A VM that leaves the cell keeps its row while callers may still
  * hold an address of it. Writes the cell and the peers.
  */
-void tr_member_cell(struct tr_board *board, struct tr_service *svc)
+void tr_member_update_cell(struct tr_board *board, struct tr_service *svc)
 {
 	if (!svc->document)
 		return;
@@ -109,7 +109,7 @@
 
 static bool is_retired(const struct tr_peer *peer, const struct tr_boot *boot)
 {
-	for (int i = 0; i < TR_RETIRED; i++)
+	for (int i = 0; i < TR_RETIRED_PEER_BOOTS; i++)
 		if (!memcmp(&peer->retired[i], boot, sizeof(*boot)))
 			return true;
 	return false;
@@ -124,16 +124,17 @@
 			 struct tr_peer *peer, const struct tr_boot *boot)
 {
 	if (peer->known) {
-		peer->retired[peer->retired_at++ % TR_RETIRED] = peer->boot;
+		peer->retired[peer->retired_at++ % TR_RETIRED_PEER_BOOTS] =
+			peer->boot;
 		tr_board_event(board, TR_EVENT_PEER_REPLACED, svc->name,
 			       peer->name, "a new process answers for it");
 	}
 	peer->boot = *boot;
 	peer->known = true;
 	peer->sequence = 0;
-	peer->echoed = 0;
+	peer->last_echo_at = 0;
 	peer->vote_until = 0;
-	peer->their_sent_at = 0;
+	peer->peer_sent_at = 0;
 	forget_source(svc, peer);
 }
 
@@ -141,9 +142,9 @@
  * Take in who sent a message and when. TR_OK, or TR_STALE_DATAGRAM for one
  * that is older than what is known.
  */
-enum tr_result tr_member_heard(struct tr_board *board, struct tr_service *svc,
-			       struct tr_peer *peer,
-			       const struct tr_gossip *msg, apr_time_t now)
+enum tr_result tr_member_receive(struct tr_board *board, struct tr_service *svc,
+				 struct tr_peer *peer,
+				 const struct tr_gossip *msg, apr_time_t now)
 {
 	if (!peer->known ||
 	    memcmp(&peer->boot, &msg->boot, sizeof(msg->boot)) != 0) {
@@ -155,11 +156,11 @@
 		return TR_STALE_DATAGRAM;
 	peer->sequence = msg->sequence;
 	peer->heard_at = now;
-	peer->their_sent_at = msg->sent_at;
+	peer->peer_sent_at = msg->sent_at;
 	/* An echo of before this process started is of an earlier one here. */
-	if (msg->echo > peer->echoed && msg->echo <= now &&
+	if (msg->echo > peer->last_echo_at && msg->echo <= now &&
 	    msg->echo >= board->started_at)
-		peer->echoed = msg->echo;
+		peer->last_echo_at = msg->echo;
 	peer->leaving = msg->flags & TR_GOSSIP_LEAVING;
 	peer->suspects_itself = msg->flags & TR_GOSSIP_SUSPECTS_SELF;
 	peer->confirmed = msg->flags & TR_GOSSIP_CONFIRMED;
@@ -173,9 +174,10 @@
  * partition one side hears the other and is not heard. The echo of what this
  * VM sent a short while ago proves the way there.
  */
-bool tr_member_hears_me(const struct tr_peer *peer, apr_time_t now)
+bool tr_member_hears_us(const struct tr_peer *peer, apr_time_t now)
 {
-	return peer->known && peer->echoed && now - peer->echoed <= TR_PEER_TTL;
+	return peer->known && peer->last_echo_at &&
+	       now - peer->last_echo_at <= TR_PEER_TTL;
 }
 
 /* Mark peers up or down by what was heard of them. Writes peers' up. */
--- a/lib/permit.c
+++ b/lib/permit.c
@@ -25,7 +25,7 @@
 		uint64_t theirs = tr_hash_pair(svc->id, peer->vm_id);
 
 		if (!peer->in_cell || !peer->up || peer->leaving ||
-		    peer->suspects_itself || !tr_member_hears_me(peer, now))
+		    peer->suspects_itself || !tr_member_hears_us(peer, now))
 			continue;
 		if (!best || theirs > score) {
 			best = peer->vm_id;
@@ -85,14 +85,14 @@
  * the time at which this VM sent what the peer echoes, which was before the
  * peer gave it: so it ends here no later than there.
  */
-void tr_permit_voted(struct tr_service *svc, struct tr_peer *peer, bool for_me,
-		     apr_time_t now)
+void tr_permit_receive_vote(struct tr_service *svc, struct tr_peer *peer,
+			    bool for_me, apr_time_t now)
 {
 	(void)svc;
-	if (!for_me || !peer->echoed || peer->echoed > now)
+	if (!for_me || !peer->last_echo_at || peer->last_echo_at > now)
 		return;
-	if (peer->vote_until < peer->echoed + TR_VOTE_TTL)
-		peer->vote_until = peer->echoed + TR_VOTE_TTL;
+	if (peer->vote_until < peer->last_echo_at + TR_VOTE_TTL)
+		peer->vote_until = peer->last_echo_at + TR_VOTE_TTL;
 }
 
 /* Three quarters of the cell: two such parts of cells that differ in up to
@@ -127,7 +127,7 @@
 }
 
 /* Is the target listed, not leaving, warm, and reached from here? */
-bool tr_target_serves(const struct tr_target *target, apr_time_t now)
+bool tr_target_is_serving(const struct tr_target *target, apr_time_t now)
 {
 	return target->listed && !target->leaving &&
 	       target->cold_until <= now && target->unreachable_until <= now;
@@ -136,7 +136,7 @@
 static bool maybe_out(const struct tr_target *target, apr_time_t now)
 {
 	return target->grant.kind != TR_ORDER_NONE ||
-	       target->grant.promised_until > now;
+	       target->grant.lease_until > now;
 }
 
 /* Targets that are in use everywhere, as the owner must count them. */
@@ -145,7 +145,7 @@
 	unsigned n = 0;
 
 	for (unsigned i = 0; i < svc->targets_count; i++)
-		n += tr_target_serves(&svc->targets[i], now) &&
+		n += tr_target_is_serving(&svc->targets[i], now) &&
 		     !maybe_out(&svc->targets[i], now);
 	return n;
 }
@@ -154,7 +154,7 @@
 {
 	apr_time_t hold = HOLD_FIRST;
 
-	for (unsigned i = 1; i < target->strikes && hold < HOLD_MOST; i++)
+	for (unsigned i = 1; i < target->eject_count && hold < HOLD_MOST; i++)
 		hold *= 2;
 	return hold < HOLD_MOST ? hold : HOLD_MOST;
 }
@@ -163,17 +163,17 @@
 static void hurry(struct tr_service *svc)
 {
 	for (unsigned i = 0; i < svc->peers_count; i++)
-		svc->peers[i].sent_to_at = 0;
+		svc->peers[i].last_sent_at = 0;
 }
 
 static void grant_eject(struct tr_board *board, struct tr_service *svc,
 			struct tr_target *target, uint32_t vantages,
 			apr_time_t now)
 {
-	if (now - target->struck_at > STRIKES_FADE)
-		target->strikes = 0;
-	target->strikes++;
-	target->struck_at = now;
+	if (now - target->last_ejected_at > STRIKES_FADE)
+		target->eject_count = 0;
+	target->eject_count++;
+	target->last_ejected_at = now;
 	target->grant.kind = TR_ORDER_EJECT;
 	target->grant.vantages = vantages;
 	target->grant.since = now;
@@ -207,7 +207,7 @@
 static bool stays_accused(const struct tr_service *svc,
 			  const struct tr_target *target, uint32_t from)
 {
-	return from && tr_evidence_failing_for(&target->evidence, from) >=
+	return from && tr_evidence_failing_duration(&target->evidence, from) >=
 			       TR_MSEC(svc->document->ejection.detect_ms);
 }
 
@@ -223,7 +223,7 @@
 		if (!target->listed || target->grant.kind != TR_ORDER_NONE ||
 		    target->held_at == now)
 			continue;
-		from = tr_detector_accused(svc, target, now);
+		from = tr_detector_sick_vantages(svc, target, now);
 		if (!stays_accused(svc, target, from) ||
 		    (best && !stronger(target, best)))
 			continue;
@@ -250,7 +250,7 @@
 	unsigned left = owner_in_use(svc, now);
 
 	return left -
-	       (tr_target_serves(target, now) && !maybe_out(target, now));
+	       (tr_target_is_serving(target, now) && !maybe_out(target, now));
 }
 
 static void give_grants(struct tr_board *board, struct tr_service *svc,
@@ -273,7 +273,7 @@
 static void widen_grant(const struct tr_service *svc, struct tr_target *target,
 			apr_time_t now)
 {
-	target->grant.vantages |= tr_detector_accused(svc, target, now);
+	target->grant.vantages |= tr_detector_sick_vantages(svc, target, now);
 }
 
 static void start_probation(struct tr_board *board, struct tr_service *svc,
@@ -283,7 +283,7 @@
 	target->grant.since = now;
 	tr_evidence_clear(&target->evidence);
 	tr_board_event(board, TR_EVENT_PROBATION, svc->name, target->name,
-		       "strike %u", target->strikes);
+		       "strike %u", target->eject_count);
 }
 
 static void end_probation(struct tr_board *board, struct tr_service *svc,
@@ -365,7 +365,7 @@
 		target->order.vantages = target->grant.vantages;
 		target->order.until = now + TR_ORDER_TTL;
 		if (target->grant.kind != TR_ORDER_NONE)
-			target->grant.promised_until = now + TR_ORDER_TTL;
+			target->grant.lease_until = now + TR_ORDER_TTL;
 	}
 }
 
@@ -418,9 +418,9 @@
  * the owner echoes: a datagram that lay in a buffer while this process was
  * paused is void on arrival.
  */
-void tr_permit_take(struct tr_board *board, struct tr_service *svc,
-		    const struct tr_peer *peer, const struct tr_gossip *msg,
-		    apr_time_t now)
+void tr_permit_receive_orders(struct tr_board *board, struct tr_service *svc,
+			      const struct tr_peer *peer,
+			      const struct tr_gossip *msg, apr_time_t now)
 {
 	apr_time_t until = msg->echo + TR_ORDER_TTL;
 
@@ -432,7 +432,7 @@
 	for (unsigned i = 0; i < svc->targets_count; i++)
 		take_order(&svc->targets[i],
 			   find_order(msg, svc->targets[i].id), until);
-	tr_floor_step(board, svc, now);
+	tr_floor_enforce(board, svc, now);
 }
 
 static bool order_applies(const struct tr_board *board,
@@ -449,9 +449,9 @@
 }
 
 /* Is this VM to keep work from the target at this moment? */
-bool tr_permit_honoured(const struct tr_board *board,
-			const struct tr_service *svc,
-			const struct tr_target *target, apr_time_t now)
+bool tr_permit_in_effect(const struct tr_board *board,
+			 const struct tr_service *svc,
+			 const struct tr_target *target, apr_time_t now)
 {
 	return target->order.honoured && order_applies(board, svc, target, now);
 }
@@ -464,7 +464,7 @@
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		const struct tr_target *target = &svc->targets[i];
 
-		n += tr_target_serves(target, now) &&
+		n += tr_target_is_serving(target, now) &&
 		     !(target->order.honoured && target->order.until > now);
 	}
 	return n;
@@ -475,8 +475,8 @@
  * one that would leave it with fewer targets than the floor of the document
  * it holds. This guard needs nobody else. Writes the orders' honoured.
  */
-void tr_floor_step(struct tr_board *board, struct tr_service *svc,
-		   apr_time_t now)
+void tr_floor_enforce(struct tr_board *board, struct tr_service *svc,
+		      apr_time_t now)
 {
 	unsigned left;
 
@@ -494,7 +494,7 @@
 			if (target->order.honoured ||
 			    !order_applies(board, svc, target, now))
 				continue;
-			if (tr_target_serves(target, now) &&
+			if (tr_target_is_serving(target, now) &&
 			    left <= svc->document->floor)
 				continue;
 			if (!best || stronger(target, best))
@@ -502,7 +502,7 @@
 		}
 		if (!best)
 			return;
-		left -= tr_target_serves(best, now);
+		left -= tr_target_is_serving(best, now);
 		best->order.honoured = true;
 	}
 }
--- a/lib/permit.h
+++ b/lib/permit.h
@@ -9,19 +9,19 @@
 			     const struct tr_service *svc, apr_time_t now);
 bool tr_permit_vote(struct tr_board *board, struct tr_service *svc,
 		    uint64_t for_vm, apr_time_t now);
-void tr_permit_voted(struct tr_service *svc, struct tr_peer *peer, bool for_me,
-		     apr_time_t now);
+void tr_permit_receive_vote(struct tr_service *svc, struct tr_peer *peer,
+			    bool for_me, apr_time_t now);
 void tr_permit_step(struct tr_board *board, struct tr_service *svc,
 		    apr_time_t now);
-void tr_permit_take(struct tr_board *board, struct tr_service *svc,
-		    const struct tr_peer *peer, const struct tr_gossip *msg,
-		    apr_time_t now);
-bool tr_permit_honoured(const struct tr_board *board,
-			const struct tr_service *svc,
-			const struct tr_target *target, apr_time_t now);
-void tr_floor_step(struct tr_board *board, struct tr_service *svc,
-		   apr_time_t now);
+void tr_permit_receive_orders(struct tr_board *board, struct tr_service *svc,
+			      const struct tr_peer *peer,
+			      const struct tr_gossip *msg, apr_time_t now);
+bool tr_permit_in_effect(const struct tr_board *board,
+			 const struct tr_service *svc,
+			 const struct tr_target *target, apr_time_t now);
+void tr_floor_enforce(struct tr_board *board, struct tr_service *svc,
+		      apr_time_t now);
 unsigned tr_floor_in_use(const struct tr_service *svc, apr_time_t now);
-bool tr_target_serves(const struct tr_target *target, apr_time_t now);
+bool tr_target_is_serving(const struct tr_target *target, apr_time_t now);
 
 #endif
--- a/lib/service.c
+++ b/lib/service.c
@@ -48,7 +48,7 @@
 	target->leaving_since = tr_clock_now(&board->clock);
 	tr_board_event(board, TR_EVENT_LEAVING, svc->name, target->name,
 		       "first word from %s", source);
-	tr_floor_step(board, svc, target->leaving_since);
+	tr_floor_enforce(board, svc, target->leaving_since);
 }
 
 static void take_entry(struct tr_board *board, struct tr_service *svc,
@@ -66,7 +66,7 @@
 			return;
 		memset(target, 0, sizeof(*target));
 		target->id = id;
-		target->trickle_gap = TR_SEC(1);
+		target->probe_interval = TR_SEC(1);
 		snprintf(target->name, sizeof(target->name), "%s", entry->name);
 		returned = true;
 	}
@@ -104,8 +104,8 @@
 	svc->targets_revision = revision;
 	for (unsigned i = 0; i < count; i++)
 		take_entry(board, svc, &entries[i], first, was_listed);
-	tr_member_cell(board, svc);
-	tr_floor_step(board, svc, tr_clock_now(&board->clock));
+	tr_member_update_cell(board, svc);
+	tr_floor_enforce(board, svc, tr_clock_now(&board->clock));
 	tr_board_event(board, TR_EVENT_LIST, svc->name, "targets",
 		       "revision %lu, %u targets", (unsigned long)revision,
 		       count);
@@ -146,28 +146,29 @@
 	svc->document = doc;
 	svc->document_revision = revision;
 	svc->detector = tr_detector(doc->ejection.detector);
-	tr_rules_make(&svc->rules, &doc->ejection, svc->outcomes_per_day);
+	tr_evidence_rules_init(&svc->rules, &doc->ejection,
+			       svc->outcomes_per_day);
 	if (svc->base_rate < svc->rules.least_base)
 		svc->base_rate = svc->rules.least_base;
 	if (!svc->queue.waiters)
 		tr_queue_init(&svc->queue, doc->queue);
 	if (doc->targets_count)
 		targets_of_document(board, svc, revision);
-	tr_member_cell(board, svc);
-	tr_floor_step(board, svc, now);
+	tr_member_update_cell(board, svc);
+	tr_floor_enforce(board, svc, now);
 	tr_board_event(board, TR_EVENT_DOCUMENT, svc->name, "document",
 		       "revision %lu, floor %u", (unsigned long)revision,
 		       doc->floor);
 }
 
 /* Does something go wrong with the target that is not dealt with yet? */
-bool tr_target_raised(const struct tr_service *svc,
-		      const struct tr_target *target, apr_time_t now)
+bool tr_target_is_suspect(const struct tr_service *svc,
+			  const struct tr_target *target, apr_time_t now)
 {
 	double least = svc->rules.sick * RAISED_SHARE;
 
 	if (target->order.kind != TR_ORDER_NONE ||
-	    now - target->evidence.bad_at > RAISED_FOR)
+	    now - target->evidence.last_failure_at > RAISED_FOR)
 		return false;
 	if (target->evidence.all > least)
 		return true;
@@ -180,7 +181,7 @@
 static bool is_raised(const struct tr_service *svc, apr_time_t now)
 {
 	for (unsigned i = 0; i < svc->targets_count; i++)
-		if (tr_target_raised(svc, &svc->targets[i], now))
+		if (tr_target_is_suspect(svc, &svc->targets[i], now))
 			return true;
 	return false;
 }
@@ -194,7 +195,7 @@
 	tr_member_step(board, svc, now);
 	svc->detector->step(board, svc, now);
 	tr_permit_step(board, svc, now);
-	tr_floor_step(board, svc, now);
+	tr_floor_enforce(board, svc, now);
 	svc->raised = is_raised(svc, now);
 	if (svc->in_cell)
 		svc->needed_until =
@@ -229,8 +230,8 @@
 {
 	return target->listed && !target->leaving &&
 	       target->unreachable_until <= now &&
-	       target->local.out_until <= now &&
-	       !tr_permit_honoured(board, svc, target, now);
+	       target->local.ejected_until <= now &&
+	       !tr_permit_in_effect(board, svc, target, now);
 }
 
 /*
@@ -312,7 +313,7 @@
 		    was_tried(tried, target->id))
 			continue;
 		if (on_trickle(board, svc, target, now) &&
-		    now - target->trickle_at >= target->trickle_gap)
+		    now - target->last_probe_at >= target->probe_interval)
 			return target;
 	}
 	return NULL;
@@ -337,7 +338,7 @@
 	if (may_repeat && !(tried && tried->count))
 		trickle = due_trickle(board, svc, tried, now);
 	if (trickle) {
-		*kind = TR_PICK_TRICKLE;
+		*kind = TR_PICK_PROBE;
 		return trickle;
 	}
 	*kind = TR_PICK_NORMAL;
@@ -347,7 +348,7 @@
 	second = choose(board, svc, true, tried, now);
 	if (second.best)
 		return second.best;
-	*kind = first.any || second.any ? TR_PICK_BUSY : TR_PICK_NOTHING;
+	*kind = first.any || second.any ? TR_PICK_BUSY : TR_PICK_NONE;
 	return NULL;
 }
 
@@ -357,14 +358,15 @@
 {
 	target->in_flight++;
 	target->sent++;
-	if (kind == TR_PICK_TRICKLE) {
-		target->trickle_at = now;
+	if (kind == TR_PICK_PROBE) {
+		target->last_probe_at = now;
 		svc->counts.trickles++;
 	}
 }
 
 /* How long an answer may take on a route before it counts as slow. */
-apr_time_t tr_service_slow_after(const struct tr_service *svc, unsigned route)
+apr_time_t tr_service_slow_threshold(const struct tr_service *svc,
+				     unsigned route)
 {
 	const struct tr_latency *l = &svc->latency[route % TR_LATENCY_ROWS];
 	apr_time_t deadline = TR_MSEC(svc->document->deadline_ms);
@@ -382,7 +384,8 @@
 }
 
 /* How long work on a route usually takes. */
-apr_time_t tr_service_usual(const struct tr_service *svc, unsigned route)
+apr_time_t tr_service_median_latency(const struct tr_service *svc,
+				     unsigned route)
 {
 	return tr_latency_quantile(&svc->latency[route % TR_LATENCY_ROWS],
 				   USUAL_QUANTILE);
@@ -399,32 +402,33 @@
 			apr_time_t began, apr_time_t now)
 {
 	if (!svc->detector->fleet ||
-	    now - began < tr_service_slow_after(svc, route) ||
+	    now - began < tr_service_slow_threshold(svc, route) ||
 	    target->cold_until > now)
 		return false;
-	svc->detector->outcome(board, svc, target, TR_SIGN_BAD, now);
+	svc->detector->outcome(board, svc, target, TR_SIGNAL_FAILURE, now);
 	return true;
 }
 
-static enum tr_sign sign_of(const struct tr_service *svc,
-			    const struct tr_target *target, unsigned route,
-			    enum tr_attempt_end how, apr_time_t took,
-			    apr_time_t now)
+static enum tr_signal sign_of(const struct tr_service *svc,
+			      const struct tr_target *target, unsigned route,
+			      enum tr_attempt_end how, apr_time_t took,
+			      apr_time_t now)
 {
 	switch (how) {
 	case TR_ATTEMPT_ANSWERED:
-		return took > tr_service_slow_after(svc, route) &&
+		return took > tr_service_slow_threshold(svc, route) &&
 				       target->cold_until <= now
-			       ? TR_SIGN_BAD
-			       : TR_SIGN_WELL;
+			       ? TR_SIGNAL_FAILURE
+			       : TR_SIGNAL_SUCCESS;
 	case TR_ATTEMPT_TARGET_REFUSED:
 	case TR_ATTEMPT_ABANDONED:
-		return TR_SIGN_NONE;
+		return TR_SIGNAL_NONE;
 	case TR_ATTEMPT_TIMED_OUT:
 		/* A caller with little patience is no proof of a slow target.
 		 */
-		return took < tr_service_slow_after(svc, route) ? TR_SIGN_NONE
-								: TR_SIGN_BAD;
+		return took < tr_service_slow_threshold(svc, route)
+			       ? TR_SIGNAL_NONE
+			       : TR_SIGNAL_FAILURE;
 	case TR_ATTEMPT_FAILED_STATUS:
 	case TR_ATTEMPT_UNREACHED:
 	case TR_ATTEMPT_BROKEN:
@@ -432,7 +436,7 @@
 	case TR_ATTEMPT_GARBAGE:
 		break;
 	}
-	return TR_SIGN_BAD;
+	return TR_SIGNAL_FAILURE;
 }
 
 /*
@@ -443,7 +447,7 @@
 static apr_time_t full_for(struct tr_board *board, const struct tr_service *svc,
 			   const struct tr_target *target, unsigned route)
 {
-	apr_time_t usual = tr_service_usual(svc, route);
+	apr_time_t usual = tr_service_median_latency(svc, route);
 
 	if (target->in_flight < target->home_slots)
 		return FULL_HOME;
@@ -462,7 +466,7 @@
 		    enum tr_attempt_end how, apr_time_t began, bool counted,
 		    apr_time_t now)
 {
-	enum tr_sign sign;
+	enum tr_signal sign;
 
 	if (target->in_flight)
 		target->in_flight--;
@@ -478,21 +482,22 @@
 	}
 	if (how == TR_ATTEMPT_UNREACHED) {
 		target->unreachable_until = now + UNREACHED_FOR;
-		tr_floor_step(board, svc, now);
+		tr_floor_enforce(board, svc, now);
 	}
 	if (!counted)
 		svc->detector->outcome(board, svc, target, sign, now);
 }
 
 /* The target itself said that it is leaving: no new work from now on. */
-void tr_target_says_leaving(struct tr_board *board, struct tr_service *svc,
-			    struct tr_target *target)
+void tr_target_announce_leaving(struct tr_board *board, struct tr_service *svc,
+				struct tr_target *target)
 {
 	begin_leaving(board, svc, target, "the target");
 }
 
 /* The target told how many of its slots are busy. */
-void tr_target_reports(struct tr_target *target, uint32_t load, apr_time_t now)
+void tr_target_set_reported_load(struct tr_target *target, uint32_t load,
+				 apr_time_t now)
 {
 	target->reported_load = load;
 	target->reported_at = now;
--- a/lib/service.h
+++ b/lib/service.h
@@ -14,9 +14,9 @@
 
 enum tr_pick_kind {
 	TR_PICK_NORMAL,
-	TR_PICK_TRICKLE,
+	TR_PICK_PROBE,
 	TR_PICK_BUSY,
-	TR_PICK_NOTHING,
+	TR_PICK_NONE,
 };
 
 /* Targets that a request has been to; it does not go there again. */
@@ -59,13 +59,16 @@
 		    struct tr_target *target, unsigned route,
 		    enum tr_attempt_end how, apr_time_t began, bool counted,
 		    apr_time_t now);
-apr_time_t tr_service_slow_after(const struct tr_service *svc, unsigned route);
-apr_time_t tr_service_usual(const struct tr_service *svc, unsigned route);
-void tr_target_says_leaving(struct tr_board *board, struct tr_service *svc,
-			    struct tr_target *target);
-bool tr_target_raised(const struct tr_service *svc,
-		      const struct tr_target *target, apr_time_t now);
-void tr_target_reports(struct tr_target *target, uint32_t load, apr_time_t now);
+apr_time_t tr_service_slow_threshold(const struct tr_service *svc,
+				     unsigned route);
+apr_time_t tr_service_median_latency(const struct tr_service *svc,
+				     unsigned route);
+void tr_target_announce_leaving(struct tr_board *board, struct tr_service *svc,
+				struct tr_target *target);
+bool tr_target_is_suspect(const struct tr_service *svc,
+			  const struct tr_target *target, apr_time_t now);
+void tr_target_set_reported_load(struct tr_target *target, uint32_t load,
+				 apr_time_t now);
 enum tr_result tr_attempt_result(enum tr_attempt_end how);
 
 #endif
--- a/src/api.c
+++ b/src/api.c
@@ -141,10 +141,10 @@
 		*found = true;
 		return true;
 	}
-	if (r->svc && !r->svc->platform_said_none && now - r->began < API_WAIT)
+	if (r->svc && !r->svc->platform_has_none && now - r->began < API_WAIT)
 		return false;
-	proxy_finish(r, r->svc && r->svc->platform_said_none ? TR_NO_SERVICE
-							     : TR_NOT_READY);
+	proxy_finish(r, r->svc && r->svc->platform_has_none ? TR_NO_SERVICE
+							    : TR_NOT_READY);
 	return true;
 }
 
--- a/src/arrive.c
+++ b/src/arrive.c
@@ -148,7 +148,7 @@
 
 static enum tr_result not_there(const struct request *r)
 {
-	if (r->svc && !r->svc->document && r->svc->platform_said_none)
+	if (r->svc && !r->svc->document && r->svc->platform_has_none)
 		return TR_NO_SERVICE;
 	return TR_NOT_READY;
 }
@@ -178,7 +178,7 @@
 	r->svc = config_attend(r->proxy->config, r->service);
 	if (!r->svc || !r->svc->document || !r->svc->confirmed) {
 		if (now - r->began < ARRIVE_WAIT && r->svc &&
-		    !r->svc->platform_said_none)
+		    !r->svc->platform_has_none)
 			return false;
 		res = not_there(r);
 	} else if (!served_here(r, now)) {
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -273,15 +273,17 @@
 	if (!target)
 		return;
 	if (r->attempt.load >= 0)
-		tr_target_reports(target, (uint32_t)r->attempt.load, now);
+		tr_target_set_reported_load(target, (uint32_t)r->attempt.load,
+					    now);
 	if (r->attempt.says_leaving)
-		tr_target_says_leaving(board, r->svc, target);
+		tr_target_announce_leaving(board, r->svc, target);
 	/* The time of a streamed body is its sender's, not the target's. */
-	tr_attempt_end(board, r->svc, target, r->route, how,
-		       r->body_streamed && how == TR_ATTEMPT_ANSWERED
-			       ? now - tr_service_usual(r->svc, r->route)
-			       : r->attempt.began,
-		       r->attempt.counted, now);
+	tr_attempt_end(
+		board, r->svc, target, r->route, how,
+		r->body_streamed && how == TR_ATTEMPT_ANSWERED
+			? now - tr_service_median_latency(r->svc, r->route)
+			: r->attempt.began,
+		r->attempt.counted, now);
 }
 
 static void done(void *owner, CURLcode code)
@@ -413,7 +415,7 @@
 {
 	memset(&r->attempt, 0, sizeof(r->attempt));
 	r->attempt.target = target->id;
-	r->attempt.trickle = kind == TR_PICK_TRICKLE;
+	r->attempt.trickle = kind == TR_PICK_PROBE;
 	if (r->tried.count < sizeof(r->tried.ids) / sizeof(r->tried.ids[0]))
 		r->tried.ids[r->tried.count++] = target->id;
 	tr_attempt_begin(r->svc, target, kind, now_of(r));
--- a/src/bench_slopes.c
+++ b/src/bench_slopes.c
@@ -161,7 +161,7 @@
 	make_vms(w, vms);
 	w->board.vm_id = w->vms[0].id;
 	snprintf(w->board.data_centre, sizeof(w->board.data_centre), "dc-0");
-	w->svc = tr_board_attend(&w->board, "svc");
+	w->svc = tr_board_add_service(&w->board, "svc");
 	tr_service_set_document(&w->board, w->svc, &w->doc, 1);
 	make_targets(w, targets);
 	return w;
@@ -209,7 +209,7 @@
 	memcpy(msg.boot.id, "another", 7);
 	msg.from = w->svc->peers[0].vm_id;
 	msg.to = w->board.vm_id;
-	tr_gossip_take(&w->board, &msg);
+	tr_gossip_receive(&w->board, &msg);
 }
 
 static void bench_message(void)
@@ -234,7 +234,7 @@
 {
 	struct world *w = ctx;
 
-	tr_member_cell(&w->board, w->svc);
+	tr_member_update_cell(&w->board, w->svc);
 }
 
 static void bench_cell(void)
--- a/src/config.c
+++ b/src/config.c
@@ -50,14 +50,14 @@
 			continue;
 		/* Without an echo of this process it may have been sent before
 		 * the revision that an earlier process here held. */
-		if (!peer->echoed ||
+		if (!peer->last_echo_at ||
 		    peer->document_revision > svc->document_revision) {
 			all = false;
 			continue;
 		}
 		any |= peer->confirmed;
 	}
-	if (!any && !all && now - svc->attended_at < JOIN_WAIT)
+	if (!any && !all && now - svc->added_at < JOIN_WAIT)
 		return;
 	svc->confirmed = true;
 	svc->confirmed_alone = !any && !all;
@@ -106,7 +106,7 @@
 
 	if (svc)
 		return svc;
-	svc = tr_board_attend(config->board, service);
+	svc = tr_board_add_service(config->board, service);
 	if (!svc)
 		return NULL;
 	svc->needed_until = config_now(config) + ATTEND_FOR;
--- a/src/config_offer.c
+++ b/src/config_offer.c
@@ -69,7 +69,7 @@
 static void hurry_gossip(struct tr_service *svc)
 {
 	for (unsigned i = 0; i < svc->peers_count; i++)
-		svc->peers[i].sent_to_at = 0;
+		svc->peers[i].last_sent_at = 0;
 }
 
 /* A document of some revision was read or pulled: is it to be in force? */
@@ -141,7 +141,7 @@
 
 	for (int i = 0; i < TR_MAX_SERVICES; i++)
 		if (board->services[i].used)
-			tr_member_cell(board, &board->services[i]);
+			tr_member_update_cell(board, &board->services[i]);
 }
 
 /* The same for the published list of VMs. */
--- a/src/config_read.c
+++ b/src/config_read.c
@@ -121,7 +121,7 @@
 	reader->index = answer->index < reader->index ? 0 : answer->index;
 	take_rows(config, reader->svc, answer->body, answer->len);
 	if (reader->svc && !reader->svc->document) {
-		reader->svc->platform_said_none = true;
+		reader->svc->platform_has_none = true;
 		reader->svc->needed_until = config_now(config) + NONE_KEPT;
 		config_changed(config);
 	}
--- a/src/operator.c
+++ b/src/operator.c
@@ -47,7 +47,7 @@
 		return "cold";
 	if (t->unreachable_until > now)
 		return "unreachable";
-	if (t->local.out_until > now)
+	if (t->local.ejected_until > now)
 		return "out-here";
 	return t->avoided ? "avoided" : "in-use";
 }
--- a/src/peer.c
+++ b/src/peer.c
@@ -59,7 +59,7 @@
 	if (msg.from == link->board->vm_id)
 		return;
 	link->heard(link->ctx, &msg);
-	if (tr_gossip_take(link->board, &msg) == TR_STALE_DATAGRAM)
+	if (tr_gossip_receive(link->board, &msg) == TR_STALE_DATAGRAM)
 		link->counts.stale++;
 }
 
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -275,8 +275,8 @@
 	r->state = REQUEST_WAITING;
 	res = tr_queue_put(&r->svc->queue, &waiter,
 			   r->svc->document->share_percent,
-			   tr_service_usual(r->svc, r->route), now_of(r->proxy),
-			   &r->waiter, &evicted);
+			   tr_service_median_latency(r->svc, r->route),
+			   now_of(r->proxy), &r->waiter, &evicted);
 	if (evicted) {
 		((struct request *)evicted)->waiter = TR_NO_WAITER;
 		proxy_finish(evicted, TR_QUEUE_FULL);
@@ -350,7 +350,7 @@
 
 static bool time_left(const struct request *r)
 {
-	return now_of(r->proxy) + tr_service_usual(r->svc, r->route) <
+	return now_of(r->proxy) + tr_service_median_latency(r->svc, r->route) <
 	       r->deadline;
 }
 
--- a/src/sweep.c
+++ b/src/sweep.c
@@ -30,13 +30,13 @@
  */
 static void maybe_hedge(struct request *r, apr_time_t now)
 {
-	apr_time_t after = tr_service_slow_after(r->svc, r->route) *
+	apr_time_t after = tr_service_slow_threshold(r->svc, r->route) *
 			   HEDGE_NUMERATOR / HEDGE_DENOMINATOR;
 
 	if (!r->may_repeat || !r->attempt.counted || r->forward_out ||
 	    now - r->attempt.began < after || r->attempt.headers_at ||
 	    !attempt_may_replay(r) ||
-	    now + tr_service_usual(r->svc, r->route) > r->deadline ||
+	    now + tr_service_median_latency(r->svc, r->route) > r->deadline ||
 	    !tr_retry_spend(&r->svc->retries))
 		return;
 	r->proxy->counts.hedged++;
@@ -71,8 +71,8 @@
 
 	if (!svc->used || !svc->queue.waiters)
 		return;
-	while ((late = tr_queue_late(&svc->queue, tr_service_usual(svc, 0),
-				     now))) {
+	while ((late = tr_queue_late(&svc->queue,
+				     tr_service_median_latency(svc, 0), now))) {
 		late->waiter = TR_NO_WAITER;
 		proxy_finish(late, TR_WOULD_BE_LATE);
 	}
--- a/src/toucanreeld.c
+++ b/src/toucanreeld.c
@@ -147,7 +147,7 @@
 	d->stop_at = now + (kept < bound ? kept : bound);
 	for (int i = 0; i < TR_MAX_SERVICES; i++)
 		for (unsigned p = 0; p < d->board->services[i].peers_count; p++)
-			d->board->services[i].peers[p].sent_to_at = 0;
+			d->board->services[i].peers[p].last_sent_at = 0;
 	tr_board_event(d->board, TR_EVENT_STOP, "", d->board->vm_name,
 		       "leaving, for at most %ld s",
 		       (long)((d->stop_at - now) / APR_USEC_PER_SEC));
--- a/tests/evidence_test.cc
+++ b/tests/evidence_test.cc
@@ -10,8 +10,8 @@
 	tr_ejection_rules eager = { 5, 800, TR_DETECTOR_CUSUM };
 	tr_evidence_rules a, b;
 
-	tr_rules_make(&a, &cautious, 864000);
-	tr_rules_make(&b, &eager, 864000);
+	tr_evidence_rules_init(&a, &cautious, 864000);
+	tr_evidence_rules_init(&b, &eager, 864000);
 	EXPECT_GT(a.sick, b.sick);
 	EXPECT_GT(a.least_base, b.least_base);
 }
@@ -19,16 +19,16 @@
 TEST(Evidence, LateAndDoubledTotalsCountOnce)
 {
 	tr_evidence ev{};
-	tr_batch batch{};
+	tr_outcome_batch batch{};
 
-	EXPECT_FALSE(tr_evidence_heard(&ev, 1, { 500, 50, 0 }, &batch))
+	EXPECT_FALSE(tr_evidence_diff_totals(&ev, 1, { 500, 50, 0 }, &batch))
 		<< "what it counted before this VM listened";
-	EXPECT_TRUE(tr_evidence_heard(&ev, 1, { 510, 52, 0 }, &batch));
+	EXPECT_TRUE(tr_evidence_diff_totals(&ev, 1, { 510, 52, 0 }, &batch));
 	EXPECT_EQ(batch.well, 10u);
 	EXPECT_EQ(batch.bad, 2u);
-	EXPECT_FALSE(tr_evidence_heard(&ev, 1, { 510, 52, 0 }, &batch));
-	EXPECT_FALSE(tr_evidence_heard(&ev, 1, { 504, 51, 0 }, &batch));
-	EXPECT_TRUE(tr_evidence_heard(&ev, 1, { 511, 52, 0 }, &batch));
+	EXPECT_FALSE(tr_evidence_diff_totals(&ev, 1, { 510, 52, 0 }, &batch));
+	EXPECT_FALSE(tr_evidence_diff_totals(&ev, 1, { 504, 51, 0 }, &batch));
+	EXPECT_TRUE(tr_evidence_diff_totals(&ev, 1, { 511, 52, 0 }, &batch));
 	EXPECT_EQ(batch.well, 1u);
 	EXPECT_EQ(batch.bad, 0u);
 }
@@ -36,7 +36,7 @@
 TEST(Evidence, FadesWithTime)
 {
 	tr_evidence ev{};
-	tr_batch bad = { 0, 0, 0, 5, 5 };
+	tr_outcome_batch bad = { 0, 0, 0, 5, 5 };
 
 	tr_evidence_decay(&ev, TR_SEC(1));
 	tr_evidence_add(&ev, &bad, 0.01, TR_SEC(1));
@@ -56,17 +56,18 @@
 	tr_ejection_rules team = { 0.01, 2000, TR_DETECTOR_CUSUM };
 	tr_evidence_rules rules;
 	tr_evidence ev{};
-	tr_batch mine = { 0, 0, 0, 30, 30 };
-	tr_batch theirs = { 1, 0, 1, 0, 0 };
+	tr_outcome_batch mine = { 0, 0, 0, 30, 30 };
+	tr_outcome_batch theirs = { 1, 0, 1, 0, 0 };
 
-	tr_rules_make(&rules, &team, 864000);
+	tr_evidence_rules_init(&rules, &team, 864000);
 	tr_evidence_add(&ev, &theirs, 0.02, TR_SEC(1));
 	tr_evidence_add(&ev, &mine, 0.02, TR_SEC(1));
 	ASSERT_GT(ev.all, rules.sick);
-	EXPECT_EQ(tr_evidence_accused(&ev, &rules, TR_SEC(1)), 0u);
+	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, TR_SEC(1)), 0u);
 	theirs = { 1, 0, 0, 2, 2 };
 	tr_evidence_add(&ev, &theirs, 0.02, TR_SEC(1));
-	EXPECT_EQ(tr_evidence_accused(&ev, &rules, TR_SEC(1)), TR_EVERY_VANTAGE)
+	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, TR_SEC(1)),
+		  TR_EVERY_VANTAGE)
 		<< "no other vantage uses it";
 }
 
@@ -77,10 +78,10 @@
 	tr_evidence ev{};
 	apr_time_t now = TR_SEC(1);
 
-	tr_rules_make(&rules, &team, 864000);
+	tr_evidence_rules_init(&rules, &team, 864000);
 	for (int round = 0; round < 3; round++)
 		for (unsigned s = 0; s < 8; s++) {
-			tr_batch batch = { s, (int)s / 2, 0, 0, 0 };
+			tr_outcome_batch batch = { s, (int)s / 2, 0, 0, 0 };
 
 			if (s < 2)
 				batch.bad = batch.bad_run = 5;
@@ -90,7 +91,7 @@
 			tr_evidence_add(&ev, &batch, 0.01, now);
 		}
 	ASSERT_GT(ev.all, rules.sick);
-	EXPECT_EQ(tr_evidence_accused(&ev, &rules, now), 1u);
+	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, now), 1u);
 }
 
 /*
@@ -106,18 +107,18 @@
 	tr_evidence_rules rules;
 	tr_evidence ev{};
 
-	tr_rules_make(&rules, &team, 864000);
+	tr_evidence_rules_init(&rules, &team, 864000);
 	for (unsigned s = 0; s < 8; s++) {
-		tr_batch batch = { s, (int)s / 2, 5, 0, 0 };
+		tr_outcome_batch batch = { s, (int)s / 2, 5, 0, 0 };
 
 		tr_evidence_add(&ev, &batch, 0.01, TR_SEC(1));
 	}
 	for (unsigned s = 0; s < 2; s++) {
-		tr_batch batch = { s, 0, 0, 3, 3 };
+		tr_outcome_batch batch = { s, 0, 0, 3, 3 };
 
 		tr_evidence_add(&ev, &batch, 0.01, TR_SEC(2));
 	}
-	EXPECT_EQ(tr_evidence_accused(&ev, &rules, TR_SEC(2)),
+	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, TR_SEC(2)),
 		  TR_EVERY_VANTAGE);
 }
 
@@ -253,9 +254,9 @@
 
 	for (int i = 0; i < 4; i++)
 		vm.outcome(1, false);
-	EXPECT_LE(vm.target(1)->local.out_until, clock.now);
+	EXPECT_LE(vm.target(1)->local.ejected_until, clock.now);
 	vm.outcome(1, false);
-	EXPECT_GT(vm.target(1)->local.out_until, clock.now);
+	EXPECT_GT(vm.target(1)->local.ejected_until, clock.now);
 }
 
 /*
@@ -268,10 +269,10 @@
 TEST(Evidence, GoodOutcomesOfBeforeTheFaultDoNotCancelIt)
 {
 	tr_evidence ev{};
-	tr_batch early = { 3, 0, 5, 0, 0 };
-	tr_batch bad = { 0, 0, 0, 3, 3 };
-	tr_batch late = { 3, 0, 30, 0, 0 };
-	tr_batch fresh = { 3, 0, 30, 0, 0 };
+	tr_outcome_batch early = { 3, 0, 5, 0, 0 };
+	tr_outcome_batch bad = { 0, 0, 0, 3, 3 };
+	tr_outcome_batch late = { 3, 0, 30, 0, 0 };
+	tr_outcome_batch fresh = { 3, 0, 30, 0, 0 };
 	double before;
 
 	tr_evidence_add(&ev, &early, 0.01, TR_SEC(1));
@@ -297,7 +298,7 @@
 
 	tr_evidence_decay(&ev, now);
 	for (int i = 0; i < 10; i++) {
-		tr_batch bad = { 0, 0, 0, 1, 1 };
+		tr_outcome_batch bad = { 0, 0, 0, 1, 1 };
 
 		tr_evidence_add(&ev, &bad, 0.02, now);
 		now += TR_SEC(2);
@@ -305,7 +306,7 @@
 	}
 	EXPECT_GT(ev.all, 30);
 	double before = ev.all;
-	tr_batch well = { 0, 0, 1, 0, 0 };
+	tr_outcome_batch well = { 0, 0, 1, 0, 0 };
 
 	tr_evidence_add(&ev, &well, 0.02, now);
 	tr_evidence_decay(&ev, now + TR_SEC(12));
@@ -325,25 +326,26 @@
 	tr_evidence ev{};
 	apr_time_t now = TR_SEC(10);
 
-	tr_rules_make(&rules, &team, 864000);
+	tr_evidence_rules_init(&rules, &team, 864000);
 	for (unsigned s = 0; s < 8; s++) {
-		tr_batch bad = { s, (int)s / 2, 0, 2, 2 };
+		tr_outcome_batch bad = { s, (int)s / 2, 0, 2, 2 };
 
 		tr_evidence_add(&ev, &bad, 0.02, now);
 	}
 	for (unsigned s = 0; s < 8; s++) {
-		tr_batch well = { s, (int)s / 2, 1, 0, 0 };
+		tr_outcome_batch well = { s, (int)s / 2, 1, 0, 0 };
 
 		tr_evidence_add(&ev, &well, 0.02, now + TR_MSEC(200));
 	}
 	for (unsigned s = 0; s < 4; s++) {
-		tr_batch bad = { s, (int)s / 2, 0, 1, 1 };
+		tr_outcome_batch bad = { s, (int)s / 2, 0, 1, 1 };
 
 		now += TR_SEC(1);
 		tr_evidence_decay(&ev, now);
 		tr_evidence_add(&ev, &bad, 0.02, now);
 	}
-	EXPECT_EQ(tr_evidence_accused(&ev, &rules, now), TR_EVERY_VANTAGE);
+	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, now),
+		  TR_EVERY_VANTAGE);
 }
 
 /* How long all has failed: what ejecting asks for. */
@@ -354,15 +356,15 @@
 	void told(unsigned source, uint32_t well, uint32_t bad,
 		  uint32_t bad_run)
 	{
-		tr_batch batch = { source, (int)source / 2, well, bad,
-				   bad_run };
+		tr_outcome_batch batch = { source, (int)source / 2, well, bad,
+					   bad_run };
 
 		tr_evidence_add(&ev, &batch, 0.02, now);
 	}
 
 	apr_time_t failing()
 	{
-		return tr_evidence_failing_for(&ev, TR_EVERY_VANTAGE);
+		return tr_evidence_failing_duration(&ev, TR_EVERY_VANTAGE);
 	}
 };
 
@@ -410,6 +412,6 @@
 	now += TR_MSEC(400);
 	told(0, 0, 1, 2);
 	EXPECT_EQ(failing(), 0);
-	EXPECT_EQ(tr_evidence_failing_for(&ev, 1U << 0), TR_MSEC(800));
-	EXPECT_EQ(tr_evidence_failing_for(&ev, 1U << 3), 0);
+	EXPECT_EQ(tr_evidence_failing_duration(&ev, 1U << 0), TR_MSEC(800));
+	EXPECT_EQ(tr_evidence_failing_duration(&ev, 1U << 3), 0);
 }
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -147,7 +147,7 @@
 		board->fleet.vms = vms.data();
 		board->fleet.count = vms.size();
 		board->fleet.revision = 1;
-		svc = tr_board_attend(board.get(), "svc");
+		svc = tr_board_add_service(board.get(), "svc");
 		tr_service_set_document(board.get(), svc, &doc.doc, 1);
 		tr_service_set_targets(board.get(), svc, entries.data(),
 				       targets, 1);
@@ -179,8 +179,8 @@
 
 	bool out(unsigned i)
 	{
-		return tr_permit_honoured(board.get(), svc, target(i),
-					  tr_clock_now(&board->clock));
+		return tr_permit_in_effect(board.get(), svc, target(i),
+					   tr_clock_now(&board->clock));
 	}
 };
 
@@ -228,7 +228,7 @@
 		if (paused[to])
 			held.push_back({ to, msg });
 		else
-			tr_gossip_take(vms[to]->board.get(), &msg);
+			tr_gossip_receive(vms[to]->board.get(), &msg);
 	}
 
 	void send(size_t from)
@@ -271,7 +271,7 @@
 		paused[i] = false;
 		for (auto &d : held)
 			if (d.to == i)
-				tr_gossip_take(vms[i]->board.get(), &d.msg);
+				tr_gossip_receive(vms[i]->board.get(), &d.msg);
 		held.clear();
 	}
 
--- a/tests/member_test.cc
+++ b/tests/member_test.cc
@@ -37,7 +37,7 @@
 		tr_peer *peer = &cell.vms[3]->svc->peers[p];
 
 		EXPECT_TRUE(peer->up) << "it hears them";
-		EXPECT_FALSE(tr_member_hears_me(peer, cell.clock.now))
+		EXPECT_FALSE(tr_member_hears_us(peer, cell.clock.now))
 			<< "they do not hear it";
 	}
 }
@@ -61,7 +61,7 @@
 	cell.run(TR_SEC(5));
 	tr_peer *peer = tr_member_find(cell.vms[0]->svc, cell.fleet[1].id);
 	ASSERT_EQ(peer->boot.id[0], 99);
-	EXPECT_EQ(tr_gossip_take(cell.vms[0]->board.get(), &late),
+	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &late),
 		  TR_STALE_DATAGRAM);
 	EXPECT_EQ(peer->boot.id[0], 99);
 }
@@ -81,10 +81,10 @@
 	tr_peer *to = tr_member_find(cell.vms[1]->svc, cell.fleet[0].id);
 	tr_gossip_build(cell.vms[1]->board.get(), cell.vms[1]->svc, to,
 			++cell.vms[1]->sequence, &msg);
-	EXPECT_EQ(tr_gossip_take(cell.vms[2]->board.get(), &msg),
+	EXPECT_EQ(tr_gossip_receive(cell.vms[2]->board.get(), &msg),
 		  TR_NO_SERVICE);
-	EXPECT_EQ(tr_gossip_take(cell.vms[0]->board.get(), &msg), TR_OK);
-	EXPECT_EQ(tr_gossip_take(cell.vms[0]->board.get(), &msg),
+	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &msg), TR_OK);
+	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &msg),
 		  TR_STALE_DATAGRAM)
 		<< "nor twice";
 }
--- a/tests/pacer_test.cc
+++ b/tests/pacer_test.cc
@@ -48,10 +48,10 @@
 	apr_time_t now = TR_SEC(100);
 
 	svc.raised = true;
-	peer.sent_to_at = now - TR_MSEC(600);
+	peer.last_sent_at = now - TR_MSEC(600);
 	EXPECT_TRUE(tr_gossip_due(&svc, &peer, true, now));
 	EXPECT_FALSE(tr_gossip_due(&svc, &peer, false, now));
-	peer.sent_to_at = now - TR_TICK_CALM;
+	peer.last_sent_at = now - TR_GOSSIP_PERIOD_IDLE;
 	EXPECT_TRUE(tr_gossip_due(&svc, &peer, false, now));
 }
 
--- a/tests/property_test.cc
+++ b/tests/property_test.cc
@@ -131,8 +131,8 @@
 				tr_floor_in_use(vm->svc, cell.clock.now);
 
 			for (unsigned i = 0; i < 10; i++)
-				serving += tr_target_serves(vm->target(i),
-							    cell.clock.now);
+				serving += tr_target_is_serving(vm->target(i),
+								cell.clock.now);
 			if (used < serving && used < vm->svc->document->floor)
 				return false;
 		}
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -39,7 +39,7 @@
 {
 	tr_service_set_targets(vm.board.get(), vm.svc, nullptr, 0, 2);
 	EXPECT_EQ(pick(), nullptr);
-	EXPECT_EQ(kind, TR_PICK_NOTHING);
+	EXPECT_EQ(kind, TR_PICK_NONE);
 }
 
 TEST_F(Service, SlotsOfOwnAreFilledFirst)
@@ -78,7 +78,7 @@
  */
 TEST_F(Service, LeavingTargetGetsNoNewWorkFromItsFirstWord)
 {
-	tr_target_says_leaving(vm.board.get(), vm.svc, vm.target(4));
+	tr_target_announce_leaving(vm.board.get(), vm.svc, vm.target(4));
 	for (int i = 0; i < 200; i++) {
 		tr_target *t = pick();
 
@@ -96,7 +96,7 @@
 	std::vector<tr_target *> picked;
 
 	vm.target(2)->avoided = true;
-	vm.target(2)->trickle_at = clock.now;
+	vm.target(2)->last_probe_at = clock.now;
 	for (int i = 0; i < 27; i++) {
 		tr_target *t = pick();
 
@@ -110,11 +110,11 @@
 TEST_F(Service, SuspectGetsATrickleOfIdempotentWorkOnly)
 {
 	vm.target(2)->avoided = true;
-	vm.target(2)->trickle_gap = TR_SEC(1);
+	vm.target(2)->probe_interval = TR_SEC(1);
 	clock.now += TR_SEC(2);
 	EXPECT_NE(pick(false), vm.target(2));
 	EXPECT_EQ(pick(true), vm.target(2));
-	EXPECT_EQ(kind, TR_PICK_TRICKLE);
+	EXPECT_EQ(kind, TR_PICK_PROBE);
 	tr_attempt_begin(vm.svc, vm.target(2), kind, clock.now);
 	tr_attempt_end(vm.board.get(), vm.svc, vm.target(2), 0,
 		       TR_ATTEMPT_TIMED_OUT, clock.now - TR_SEC(2), false,
@@ -205,7 +205,7 @@
 {
 	for (unsigned i = 0; i < 10; i++) {
 		vm.target(i)->avoided = true;
-		vm.target(i)->trickle_at = clock.now;
+		vm.target(i)->last_probe_at = clock.now;
 		vm.target(i)->evidence.all = i == 7 ? 40 : 9;
 	}
 	for (int i = 0; i < 27; i++) {
--- a/tests/stack.h
+++ b/tests/stack.h
@@ -195,7 +195,7 @@
 		doc.doc.routes = doc.routes.data();
 		doc.doc.routes_count = 2;
 		doc.doc.deadline_ms = deadline_ms;
-		svc = tr_board_attend(board.get(), "svc");
+		svc = tr_board_add_service(board.get(), "svc");
 		tr_service_set_document(board.get(), svc, &doc.doc, 1);
 		for (size_t i = 0; i < targets.size(); i++) {
 			tr_target_entry e{};
