--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -79,7 +79,7 @@
 		.heard = exchange_heard(x),
 	};
 
-	req.turns.rank = tr_membership_place(&e->members, now, &req.turns.vms);
+	req.turns.rank = tr_membership_rank(&e->members, now, &req.turns.vms);
 	res = tr_place(&e->roster, &req, &x->e->random, now, p);
 	if (res != TR_PLACE_NONE_KNOWN)
 		tr_service_stats_track_queue(svc, p->least_takes, aim, now);
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -179,7 +179,7 @@
 bool exchange_is_late(const struct entry *e)
 {
 	uint64_t newest =
-		tr_spread_newest(&e->members, TR_HOLDS_ROUTES, entry_now(e));
+		tr_spread_newest(&e->members, TR_RESOURCE_ROUTES, entry_now(e));
 
 	return newest > e->routes->revision && newest > e->refused_revision;
 }
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -45,7 +45,7 @@
 	struct tr_limit *l = &e->limits.rows[organisation->known_as];
 	apr_time_t now = entry_now(e);
 	const struct tr_limit_fleet heard = {
-		.share = tr_membership_heard_lately(&e->members, now),
+		.share = tr_membership_recent_share(&e->members, now),
 		.groups = e->members.groups_count,
 	};
 
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -28,7 +28,7 @@
 
 	if (!e->roster.limits.holding)
 		return 1;
-	return tr_membership_heard_lately(&e->members, entry_now(e));
+	return tr_membership_recent_share(&e->members, entry_now(e));
 }
 
 /* Free it, from outside of its own calls. */
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -105,10 +105,10 @@
 	char ip[INET_ADDRSTRLEN] = "";
 
 	mesh->e->counts.messages_refused++;
-	if (!tr_pacer_has(&mesh->refusal_lines, REFUSAL_LINES_A_S,
-			  entry_now(mesh->e)))
+	if (!tr_pacer_allows(&mesh->refusal_lines, REFUSAL_LINES_A_S,
+			     entry_now(mesh->e)))
 		return;
-	tr_pacer_spend(&mesh->refusal_lines, 1);
+	tr_pacer_consume(&mesh->refusal_lines, 1);
 	inet_ntop(AF_INET, &from->sin_addr, ip, sizeof(ip));
 	eventlog(EVENT_FAILURE, "message-refused",
 		 "from=%s expected=\"a message of version %d of this fleet\"",
@@ -251,8 +251,8 @@
 
 	for (unsigned i = 0; i < s->seeds_count; i++)
 		if (!stream_parse_address(s->seeds[i], &seed))
-			tr_membership_learn(&mesh->e->members,
-					    seed.sin_addr.s_addr);
+			tr_membership_find_or_add(&mesh->e->members,
+						  seed.sin_addr.s_addr);
 }
 
 /* So that others of the group can ask this VM for what it has pulled. */
--- a/entry/mesh_away.c
+++ b/entry/mesh_away.c
@@ -212,7 +212,7 @@
 static void take_member(struct mesh *mesh, const struct mesh_message *msg,
 			uint32_t ip, bool ready, uint32_t flags, apr_time_t now)
 {
-	const struct tr_node_news news = {
+	const struct tr_node_status news = {
 		.ip = ip,
 		.data_centre = msg->data_centre,
 		.ready = ready,
@@ -220,7 +220,7 @@
 		.cannot_read = flags & MESH_CANNOT_READ,
 	};
 
-	tr_membership_vouched(&mesh->e->members, &news, now);
+	tr_membership_receive_indirect(&mesh->e->members, &news, now);
 }
 
 /* Take in what another group says of its VMs and targets. */
--- a/entry/mesh_call.c
+++ b/entry/mesh_call.c
@@ -11,7 +11,8 @@
  * on, and with what targets said of themselves. */
 void mesh_call_one(struct mesh *mesh, uint32_t ip, bool answer)
 {
-	const struct tr_node *node = tr_membership_learn(&mesh->e->members, ip);
+	const struct tr_node *node =
+		tr_membership_find_or_add(&mesh->e->members, ip);
 	apr_time_t now = entry_now(mesh->e);
 	struct mesh_notices notices;
 	struct mesh_fatals fatals;
@@ -36,7 +37,7 @@
 {
 	for (int i = 0; i < CALLS_A_STEP; i++) {
 		struct tr_node *lost =
-			tr_membership_lost(&mesh->e->members, now);
+			tr_membership_next_lost(&mesh->e->members, now);
 
 		if (!lost)
 			return;
--- a/entry/mesh_nodes.c
+++ b/entry/mesh_nodes.c
@@ -88,8 +88,8 @@
 			*centre->name ? centre->name : msg->data_centre;
 
 		for (u_int i = 0; i < centre->nodes.nodes_len; i++)
-			tr_membership_learn_at(&mesh->e->members,
-					       centre->nodes.nodes_val[i],
-					       name);
+			tr_membership_find_or_add_at(&mesh->e->members,
+						     centre->nodes.nodes_val[i],
+						     name);
 	}
 }
--- a/entry/mesh_notices.c
+++ b/entry/mesh_notices.c
@@ -114,7 +114,7 @@
 	reported = tr_node_sent_report(node, in->target);
 	tr_send_limit_heard(&roster->limits.rows[place],
 			    (uint16_t)(in->sent - reported->sent),
-			    tr_membership_heard_lately(&e->members, now), now);
+			    tr_membership_recent_share(&e->members, now), now);
 	reported->sent = (uint16_t)in->sent;
 }
 
--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -152,14 +152,14 @@
 	free(node->reported);
 	node->reported = NULL;
 	node->reported_count = 0;
-	node->reported_room = 0;
+	node->reported_capacity = 0;
 	free(node->work);
 	node->work = NULL;
 	node->work_count = 0;
 	free(node->limits);
 	node->limits = NULL;
 	node->limits_count = 0;
-	node->limits_room = 0;
+	node->limits_capacity = 0;
 	free(node->sent);
 	node->sent = NULL;
 	node->sent_count = 0;
@@ -323,7 +323,7 @@
 	for (unsigned i = 1; i < m->count; i++) {
 		const struct tr_node *node = &m->nodes[i];
 
-		if (node->near && !tr_node_heard_lately(m, node, now))
+		if (node->near && !tr_node_heard_recently(m, node, now))
 			sum += untold_by(e, node, hash, now);
 	}
 	return sum;
--- a/entry/mesh_take.c
+++ b/entry/mesh_take.c
@@ -10,8 +10,8 @@
 		.age = TR_MSEC(msg->age_ms),
 	};
 
-	if (tr_list_check_reported(&mesh->list_check, &mesh->e->roster,
-				   &reported, &mesh->e->random, now))
+	if (tr_list_check_compare(&mesh->list_check, &mesh->e->roster,
+				  &reported, &mesh->e->random, now))
 		pull_targets(&mesh->pull, node->ip);
 }
 
@@ -27,7 +27,7 @@
 void mesh_take(struct mesh *mesh, const struct mesh_message *msg, uint32_t ip)
 {
 	struct entry *e = mesh->e;
-	struct tr_node_news news = {
+	struct tr_node_status news = {
 		.ip = ip,
 		.boot = msg->boot,
 		.sequence = msg->sequence,
@@ -46,7 +46,7 @@
 	bool restarted;
 
 	e->counts.messages_in++;
-	node = tr_membership_heard(&e->members, &news, now, &restarted);
+	node = tr_membership_receive(&e->members, &news, now, &restarted);
 	if (!node)
 		return;
 	if (restarted) {
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -345,8 +345,8 @@
 {
 	pull->e = e;
 	pull->has_news = has_news;
-	pull->spread.what = TR_HOLDS_ROUTES;
-	pull->first_list.what = TR_HOLDS_LIST;
+	pull->spread.what = TR_RESOURCE_ROUTES;
+	pull->first_list.what = TR_RESOURCE_LIST;
 	pull->link.bytes_a_second = e->settings->link_mbps * 1e6 / 8;
 	fetcher_init(&pull->routes, e->loop, e->settings->ip);
 	fetcher_init(&pull->targets, e->loop, e->settings->ip);
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -248,7 +248,7 @@
 
 	if (since >= START_LEFT || is_seed(e))
 		return true;
-	if (tr_spread_newest(&e->members, TR_HOLDS_LIST, now))
+	if (tr_spread_newest(&e->members, TR_RESOURCE_LIST, now))
 		return false;
 	return since >= START_WAIT_LEAST + TR_MSEC(drawn % START_WAIT_MS);
 }
@@ -260,11 +260,11 @@
 
 	if (!e->roster.confirmed_at || !e->routes)
 		return wanted_at_start(r, now);
-	if (tr_membership_reads(&e->members, now))
+	if (tr_membership_is_reader(&e->members, now))
 		return true;
 	if (entry_view_age(e) <= old)
 		return false;
-	old += tr_membership_turn(&e->members, now) * OLD_A_RANK;
+	old += tr_membership_read_rank(&e->members, now) * OLD_A_RANK;
 	return entry_view_age(e) > old;
 }
 
--- a/entry/repeat.c
+++ b/entry/repeat.c
@@ -56,7 +56,7 @@
 		 e->roster.services[service].name, a->own.repeats, a->denied,
 		 sums.requests, sums.repeats, sums.own_requests,
 		 sums.own_repeats, a->purse.tokens, a->untold,
-		 e->repeat_bound.vms, tr_membership_heard_lately(m, now),
+		 e->repeat_bound.vms, tr_membership_recent_share(m, now),
 		 (long)(oldest_news(m, now) / 1000),
 		 (long)((now - e->started_at) / 1000));
 }
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -282,7 +282,7 @@
 
 static double heard(const struct entry *e)
 {
-	return tr_membership_heard_lately(&e->members, entry_now(e));
+	return tr_membership_recent_share(&e->members, entry_now(e));
 }
 
 /* The target is sent one more request: what it takes is less for it. */
--- a/lib/admit.c
+++ b/lib/admit.c
@@ -122,9 +122,10 @@
  * spent on it, and useful answers fall towards none while all targets look
  * busy. Work that can't end in time is refused before it is sent.
  */
-enum tr_result tr_queue_put(struct tr_queue *q, const struct tr_waiter *request,
-			    uint32_t share_percent, apr_time_t work,
-			    apr_time_t now, uint32_t *slot, void **evicted)
+enum tr_result tr_queue_push(struct tr_queue *q,
+			     const struct tr_waiter *request,
+			     uint32_t share_percent, apr_time_t work,
+			     apr_time_t now, uint32_t *slot, void **evicted)
 {
 	struct tr_waiter w = *request;
 	uint32_t share = q->capacity * share_percent / 100 + 1;
@@ -158,7 +159,7 @@
 }
 
 /* The request whose turn it is, taken out of the queue; NULL when empty. */
-void *tr_queue_take(struct tr_queue *q, apr_time_t now)
+void *tr_queue_pop(struct tr_queue *q, apr_time_t now)
 {
 	for (int p = 0; p < TR_PRIORITIES; p++) {
 		if (!q->by_priority[p])
@@ -174,7 +175,7 @@
 			owner = q->waiters[i].owner;
 			unlink_waiter(q, i);
 			q->served += 1;
-			tr_queue_rate(q, now);
+			tr_queue_update_rate(q, now);
 			return owner;
 		}
 	}
@@ -185,7 +186,7 @@
  * Take out one request that can't be done in time any more, or NULL. Work of
  * every priority is looked at; call until NULL.
  */
-void *tr_queue_late(struct tr_queue *q, apr_time_t work, apr_time_t now)
+void *tr_queue_pop_late(struct tr_queue *q, apr_time_t work, apr_time_t now)
 {
 	for (int p = 0; p < TR_PRIORITIES; p++) {
 		for (int l = 0; q->by_priority[p] && l < TR_QUEUE_LANES; l++) {
@@ -214,7 +215,7 @@
  * Keep the rate at which waiting requests are served, a second. It is taken
  * only while some wait: the rate of an idle queue says nothing of capacity.
  */
-void tr_queue_rate(struct tr_queue *q, apr_time_t now)
+void tr_queue_update_rate(struct tr_queue *q, apr_time_t now)
 {
 	double per_s;
 
@@ -228,7 +229,7 @@
 }
 
 /* How long a caller that was refused should stay away, in milliseconds. */
-uint32_t tr_queue_wait_ms(const struct tr_queue *q)
+uint32_t tr_queue_retry_after_ms(const struct tr_queue *q)
 {
 	double rate = q->rate > LEAST_RATE ? q->rate : LEAST_RATE;
 	double ms = (q->length + 1) / rate * 1000;
--- a/lib/admit.h
+++ b/lib/admit.h
@@ -49,13 +49,14 @@
 
 int tr_queue_init(struct tr_queue *q, uint32_t capacity);
 void tr_queue_release(struct tr_queue *q);
-enum tr_result tr_queue_put(struct tr_queue *q, const struct tr_waiter *request,
-			    uint32_t share_percent, apr_time_t work,
-			    apr_time_t now, uint32_t *slot, void **evicted);
-void *tr_queue_take(struct tr_queue *q, apr_time_t now);
-void *tr_queue_late(struct tr_queue *q, apr_time_t work, apr_time_t now);
+enum tr_result tr_queue_push(struct tr_queue *q,
+			     const struct tr_waiter *request,
+			     uint32_t share_percent, apr_time_t work,
+			     apr_time_t now, uint32_t *slot, void **evicted);
+void *tr_queue_pop(struct tr_queue *q, apr_time_t now);
+void *tr_queue_pop_late(struct tr_queue *q, apr_time_t work, apr_time_t now);
 void tr_queue_cancel(struct tr_queue *q, uint32_t slot);
-void tr_queue_rate(struct tr_queue *q, apr_time_t now);
-uint32_t tr_queue_wait_ms(const struct tr_queue *q);
+void tr_queue_update_rate(struct tr_queue *q, apr_time_t now);
+uint32_t tr_queue_retry_after_ms(const struct tr_queue *q);
 
 #endif
--- a/lib/board.c
+++ b/lib/board.c
@@ -67,6 +67,6 @@
 	va_start(ap, detail);
 	vsnprintf(text, sizeof(text), detail, ap);
 	va_end(ap);
-	tr_event_put(board->events, board->wall(board->wall_ctx), kind, service,
-		     subject, "%s", text);
+	tr_event_append(board->events, board->wall(board->wall_ctx), kind,
+			service, subject, "%s", text);
 }
--- a/lib/dispatch.c
+++ b/lib/dispatch.c
@@ -98,7 +98,7 @@
 			   uint64_t fingerprint, uint64_t own_key)
 {
 	uint32_t i = d->free_head;
-	struct tr_record *r;
+	struct tr_dispatch_record *r;
 	uint32_t *chain = number_chain(d, key->number);
 
 	if (i == TR_NO_RECORD)
@@ -122,7 +122,8 @@
 	return i;
 }
 
-static enum tr_result admit_known(struct tr_record *r, uint64_t fingerprint)
+static enum tr_result admit_known(struct tr_dispatch_record *r,
+				  uint64_t fingerprint)
 {
 	if (r->fingerprint != fingerprint)
 		return TR_KEY_OTHER_BODY;
@@ -191,7 +192,7 @@
 		d->records[record].state = TR_DISPATCH_SENT;
 }
 
-static void keep_answer(struct tr_dispatcher *d, struct tr_record *r,
+static void keep_answer(struct tr_dispatcher *d, struct tr_dispatch_record *r,
 			const char *content_type, const char *answer,
 			size_t len)
 {
@@ -221,7 +222,7 @@
 			  const char *content_type, const char *answer,
 			  size_t answer_len)
 {
-	struct tr_record *r = &d->records[record];
+	struct tr_dispatch_record *r = &d->records[record];
 
 	if (r->state != TR_DISPATCH_ADMITTED && r->state != TR_DISPATCH_SENT)
 		return;
@@ -259,7 +260,7 @@
 
 static void forget(struct tr_dispatcher *d, uint32_t i)
 {
-	struct tr_record *r = &d->records[i];
+	struct tr_dispatch_record *r = &d->records[i];
 
 	unlink_number(d, i);
 	unlink_own(d, i);
@@ -282,7 +283,7 @@
 		most = d->capacity;
 	while (most--) {
 		uint32_t i = d->sweep_at;
-		const struct tr_record *r = &d->records[i];
+		const struct tr_dispatch_record *r = &d->records[i];
 
 		d->sweep_at = (i + 1) % d->capacity;
 		if (r->state == TR_DISPATCH_FREE ||
--- a/lib/dispatch.h
+++ b/lib/dispatch.h
@@ -17,7 +17,7 @@
 };
 
 /* What is remembered of one request that must not repeat. */
-struct tr_record {
+struct tr_dispatch_record {
 	uint64_t number;
 	uint64_t fingerprint;
 	uint64_t own_key;
@@ -48,7 +48,7 @@
 	uint32_t sweep_at;
 	uint32_t *by_number;
 	uint32_t *by_own_key;
-	struct tr_record *records;
+	struct tr_dispatch_record *records;
 	size_t answer_bytes;
 	size_t answer_bytes_max;
 };
--- a/lib/event.c
+++ b/lib/event.c
@@ -5,9 +5,9 @@
 #include <stdio.h>
 
 /* Put an event at the ring's end; the oldest gives way. wall is in us. */
-void tr_event_put(struct tr_event_ring *ring, uint64_t wall,
-		  enum tr_event_kind kind, const char *service,
-		  const char *subject, const char *detail, ...)
+void tr_event_append(struct tr_event_ring *ring, uint64_t wall,
+		     enum tr_event_kind kind, const char *service,
+		     const char *subject, const char *detail, ...)
 {
 	struct tr_event *ev = &ring->events[ring->count % TR_EVENT_RING];
 	va_list ap;
@@ -39,7 +39,7 @@
 	return &ring->events[number % TR_EVENT_RING];
 }
 
-const char *tr_event_word(enum tr_event_kind kind)
+const char *tr_event_name(enum tr_event_kind kind)
 {
 	static const char *const words[] = {
 #define TR_EVENT_WORD(name, word) word,
--- a/lib/event.h
+++ b/lib/event.h
@@ -54,13 +54,13 @@
 	struct tr_event events[TR_EVENT_RING];
 };
 
-void tr_event_put(struct tr_event_ring *ring, uint64_t wall,
-		  enum tr_event_kind kind, const char *service,
-		  const char *subject, const char *detail, ...)
+void tr_event_append(struct tr_event_ring *ring, uint64_t wall,
+		     enum tr_event_kind kind, const char *service,
+		     const char *subject, const char *detail, ...)
 	__attribute__((format(printf, 6, 7)));
 const struct tr_event *tr_event_get(const struct tr_event_ring *ring,
 				    uint64_t number);
 uint64_t tr_event_first(const struct tr_event_ring *ring);
-const char *tr_event_word(enum tr_event_kind kind);
+const char *tr_event_name(enum tr_event_kind kind);
 
 #endif
--- a/lib/group.c
+++ b/lib/group.c
@@ -159,7 +159,7 @@
 	for (unsigned i = 0; i < m->count; i++)
 		assign_node(m, &m->nodes[i]);
 	m->generation++;
-	m->counted_at = 0;
+	m->alive_counted_at = 0;
 }
 
 /* Counts the VM in its data centre. Tells whether the groups must be rebuilt,
@@ -205,7 +205,7 @@
 {
 	bool changed = false;
 
-	if (m->counted_at && now - m->counted_at < COUNT_INTERVAL)
+	if (m->alive_counted_at && now - m->alive_counted_at < COUNT_INTERVAL)
 		return false;
 	for (unsigned i = 0; i < m->groups_count; i++) {
 		m->groups[i].alive_before = m->groups[i].alive;
@@ -217,7 +217,7 @@
 			m->groups[m->nodes[k].group].alive++;
 	for (unsigned i = 0; i < m->groups_count; i++)
 		changed |= !m->groups[i].alive_before != !m->groups[i].alive;
-	m->counted_at = now;
+	m->alive_counted_at = now;
 	m->generation += changed;
 	return changed;
 }
--- a/lib/list_check.c
+++ b/lib/list_check.c
@@ -33,9 +33,9 @@
  * kept the list of their start for 19 s, and a target got requests 9.7 s after
  * it had begun to leave.
  */
-bool tr_list_check_reported(struct tr_list_check *c, struct tr_roster *roster,
-			    const struct tr_list_report *reported,
-			    struct tr_random *random, apr_time_t now)
+bool tr_list_check_compare(struct tr_list_check *c, struct tr_roster *roster,
+			   const struct tr_list_report *reported,
+			   struct tr_random *random, apr_time_t now)
 {
 	if (!reported->as_of)
 		return false;
--- a/lib/list_check.h
+++ b/lib/list_check.h
@@ -18,8 +18,8 @@
 	uint64_t as_of;
 };
 
-bool tr_list_check_reported(struct tr_list_check *c, struct tr_roster *roster,
-			    const struct tr_list_report *reported,
-			    struct tr_random *random, apr_time_t now);
+bool tr_list_check_compare(struct tr_list_check *c, struct tr_roster *roster,
+			   const struct tr_list_report *reported,
+			   struct tr_random *random, apr_time_t now);
 
 #endif
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -102,7 +102,7 @@
 }
 
 /* The VM of the address, which may not have been heard yet. */
-struct tr_node *tr_membership_learn(struct tr_membership *m, uint32_t ip)
+struct tr_node *tr_membership_find_or_add(struct tr_membership *m, uint32_t ip)
 {
 	uint32_t at;
 	uint32_t i = tr_index_first(&m->by_ip, ip, &at);
@@ -124,10 +124,11 @@
 }
 
 /* The same, where it is told in which data centre the VM is. */
-struct tr_node *tr_membership_learn_at(struct tr_membership *m, uint32_t ip,
-				       const char *data_centre)
+struct tr_node *tr_membership_find_or_add_at(struct tr_membership *m,
+					     uint32_t ip,
+					     const char *data_centre)
 {
-	struct tr_node *node = tr_membership_learn(m, ip);
+	struct tr_node *node = tr_membership_find_or_add(m, ip);
 
 	if (node != m->nodes)
 		set_centre(m, node, data_centre);
@@ -160,11 +161,11 @@
  * A message came. NULL when it is of an earlier start, or older than one that
  * came before. restarted: what was told before is void.
  */
-struct tr_node *tr_membership_heard(struct tr_membership *m,
-				    const struct tr_node_news *news,
-				    apr_time_t now, bool *restarted)
+struct tr_node *tr_membership_receive(struct tr_membership *m,
+				      const struct tr_node_status *news,
+				      apr_time_t now, bool *restarted)
 {
-	struct tr_node *node = tr_membership_learn(m, news->ip);
+	struct tr_node *node = tr_membership_find_or_add(m, news->ip);
 
 	*restarted = false;
 	if (node == m->nodes || is_retired(node, news->boot))
@@ -177,7 +178,7 @@
 			(node->retired_next + 1) % TR_RETIRED_BOOTS;
 		node->boot = news->boot;
 		node->first_sequence = news->sequence;
-		node->heard_since = now;
+		node->boot_heard_at = now;
 		*restarted = true;
 	}
 	node->sequence = news->sequence;
@@ -198,11 +199,12 @@
 }
 
 /* A VM of another group is there and like that, as its own group says. */
-void tr_membership_vouched(struct tr_membership *m,
-			   const struct tr_node_news *news, apr_time_t now)
+void tr_membership_receive_indirect(struct tr_membership *m,
+				    const struct tr_node_status *news,
+				    apr_time_t now)
 {
 	struct tr_node *node =
-		tr_membership_learn_at(m, news->ip, news->data_centre);
+		tr_membership_find_or_add_at(m, news->ip, news->data_centre);
 
 	if (node->near)
 		return;
@@ -231,12 +233,13 @@
 	}
 	if (low < node->reported_count && node->reported[low].target == target)
 		return &node->reported[low];
-	if (node->reported_count == node->reported_room) {
-		node->reported_room =
-			node->reported_room ? node->reported_room * 2 : 8;
-		node->reported =
-			realloc(node->reported,
-				node->reported_room * sizeof(*node->reported));
+	if (node->reported_count == node->reported_capacity) {
+		node->reported_capacity = node->reported_capacity
+						  ? node->reported_capacity * 2
+						  : 8;
+		node->reported = realloc(node->reported,
+					 node->reported_capacity *
+						 sizeof(*node->reported));
 		if (!node->reported)
 			abort();
 	}
@@ -286,12 +289,12 @@
 	}
 	if (low < node->limits_count && node->limits[low].name == name)
 		return &node->limits[low];
-	if (node->limits_count == node->limits_room) {
-		node->limits_room =
-			node->limits_room ? node->limits_room * 2 : 8;
+	if (node->limits_count == node->limits_capacity) {
+		node->limits_capacity =
+			node->limits_capacity ? node->limits_capacity * 2 : 8;
 		node->limits =
 			realloc(node->limits,
-				node->limits_room * sizeof(*node->limits));
+				node->limits_capacity * sizeof(*node->limits));
 		if (!node->limits)
 			abort();
 	}
@@ -339,7 +342,7 @@
 bool tr_node_heard_from_start(const struct tr_node *node, apr_time_t now)
 {
 	return node->first_sequence <= FIRST_MESSAGES ||
-	       now - node->heard_since >= TOLD_ALL_AFTER;
+	       now - node->boot_heard_at >= TOLD_ALL_AFTER;
 }
 
 /* May callers be sent to the VM? */
@@ -354,8 +357,8 @@
 
 /* This VM's place, by address, among those of its group that take callers; vms:
  * how many these are, this one included. */
-unsigned tr_membership_place(const struct tr_membership *m, apr_time_t now,
-			     unsigned *vms)
+unsigned tr_membership_rank(const struct tr_membership *m, apr_time_t now,
+			    unsigned *vms)
 {
 	unsigned place = 0;
 
@@ -376,7 +379,7 @@
  * One whose data centre is not known yet may be of the group; those of others
  * are called by their own groups, and by summaries while these are silent.
  */
-struct tr_node *tr_membership_lost(struct tr_membership *m, apr_time_t now)
+struct tr_node *tr_membership_next_lost(struct tr_membership *m, apr_time_t now)
 {
 	apr_time_t gap = m->heard_any ? CALL_LOST : CALL_FIRST;
 
@@ -416,8 +419,8 @@
 }
 
 /* Is the VM not silent for much longer than usual? */
-bool tr_node_heard_lately(const struct tr_membership *m,
-			  const struct tr_node *node, apr_time_t now)
+bool tr_node_heard_recently(const struct tr_membership *m,
+			    const struct tr_node *node, apr_time_t now)
 {
 	if (!node->near)
 		return tr_node_alive(m, node, now);
@@ -433,7 +436,7 @@
  * routine message: with that one of seven played days with a cut of a third of
  * the VMs in a flood had 1.012 of it.
  */
-double tr_membership_heard_lately(const struct tr_membership *m, apr_time_t now)
+double tr_membership_recent_share(const struct tr_membership *m, apr_time_t now)
 {
 	unsigned lately = 0;
 	unsigned elsewhere = 0;
@@ -441,8 +444,9 @@
 	for (unsigned i = 0; i < m->count; i++) {
 		const struct tr_node *node = &m->nodes[i];
 
-		lately += node->near && tr_node_heard_lately(m, node, now);
-		elsewhere += !node->near && tr_node_heard_lately(m, node, now);
+		lately += node->near && tr_node_heard_recently(m, node, now);
+		elsewhere +=
+			!node->near && tr_node_heard_recently(m, node, now);
 	}
 	return (double)lately / m->near_count * (m->near_count + elsewhere) /
 	       tr_membership_size(m);
@@ -469,15 +473,15 @@
  * for the next, and all of a large fleet call it; 442 VMs made 4,062 calls on a
  * day with one such time.
  */
-unsigned tr_membership_turn(const struct tr_membership *m, apr_time_t now)
+unsigned tr_membership_read_rank(const struct tr_membership *m, apr_time_t now)
 {
 	uint64_t mine = score(m->nodes);
 	unsigned before = 0;
 
 	for (unsigned i = 1; i < m->count; i++)
 		before += score(&m->nodes[i]) > mine && !m->nodes[i].leaving &&
-			  m->nodes[i].held[TR_HOLDS_LIST] &&
-			  tr_node_heard_lately(m, &m->nodes[i], now);
+			  m->nodes[i].held[TR_RESOURCE_LIST] &&
+			  tr_node_heard_recently(m, &m->nodes[i], now);
 	return before;
 }
 
@@ -502,7 +506,7 @@
 }
 
 /* Is this VM one of those that watch the platform for all? */
-bool tr_membership_reads(const struct tr_membership *m, apr_time_t now)
+bool tr_membership_is_reader(const struct tr_membership *m, apr_time_t now)
 {
 	const struct tr_node *taken[READERS];
 
--- a/lib/membership.h
+++ b/lib/membership.h
@@ -16,10 +16,10 @@
 #define TR_NO_GROUP	 UINT16_MAX
 
 /* What a VM may hold that others fetch from it. */
-enum tr_holding {
-	TR_HOLDS_ROUTES,
-	TR_HOLDS_LIST,
-	TR_HOLDINGS,
+enum tr_resource {
+	TR_RESOURCE_ROUTES,
+	TR_RESOURCE_LIST,
+	TR_RESOURCES,
 };
 
 /* What a VM last told of one target: its outcomes and what it has there. */
@@ -68,7 +68,7 @@
 	unsigned retired_next;
 	uint64_t sequence;
 	uint64_t first_sequence;
-	apr_time_t heard_since;
+	apr_time_t boot_heard_at;
 	char data_centre[TR_ID_MAX + 1];
 	apr_time_t heard_at;
 	apr_time_t gap;
@@ -77,24 +77,24 @@
 	bool ready;
 	bool leaving;
 	bool cannot_read;
-	uint64_t held[TR_HOLDINGS];
+	uint64_t held[TR_RESOURCES];
 	apr_time_t proven_at;
 	bool reports_work;
 	struct tr_report *reported;
 	unsigned reported_count;
-	unsigned reported_room;
+	unsigned reported_capacity;
 	struct tr_work_report *work;
 	unsigned work_count;
 	struct tr_limit_report *limits;
 	unsigned limits_count;
-	unsigned limits_room;
+	unsigned limits_capacity;
 	struct tr_sent_report *sent;
 	unsigned sent_count;
 };
 
 /* What one message says of its sender; requests and targets come apart. A
  * proof_age below 0: there is no proof. */
-struct tr_node_news {
+struct tr_node_status {
 	uint32_t ip;
 	uint64_t boot;
 	uint64_t sequence;
@@ -102,7 +102,7 @@
 	bool ready;
 	bool leaving;
 	bool cannot_read;
-	uint64_t held[TR_HOLDINGS];
+	uint64_t held[TR_RESOURCES];
 	unsigned fleet_size;
 	apr_time_t proof_age;
 };
@@ -133,41 +133,44 @@
 	unsigned size_reported;
 	bool heard_any;
 	uint32_t generation;
-	apr_time_t counted_at;
+	apr_time_t alive_counted_at;
 };
 
 int tr_membership_init(struct tr_membership *m, uint32_t ip, uint64_t boot,
 		       const char *data_centre);
 void tr_membership_release(struct tr_membership *m);
-struct tr_node *tr_membership_learn(struct tr_membership *m, uint32_t ip);
-struct tr_node *tr_membership_learn_at(struct tr_membership *m, uint32_t ip,
-				       const char *data_centre);
-void tr_membership_vouched(struct tr_membership *m,
-			   const struct tr_node_news *news, apr_time_t now);
+struct tr_node *tr_membership_find_or_add(struct tr_membership *m, uint32_t ip);
+struct tr_node *tr_membership_find_or_add_at(struct tr_membership *m,
+					     uint32_t ip,
+					     const char *data_centre);
+void tr_membership_receive_indirect(struct tr_membership *m,
+				    const struct tr_node_status *news,
+				    apr_time_t now);
 unsigned tr_membership_size(const struct tr_membership *m);
 struct tr_report *tr_node_report(struct tr_node *node, uint32_t target);
 struct tr_sent_report *tr_node_sent_report(struct tr_node *node,
 					   uint32_t target);
 struct tr_limit_report *tr_node_limit_report(struct tr_node *node,
 					     uint32_t name);
-struct tr_node *tr_membership_heard(struct tr_membership *m,
-				    const struct tr_node_news *news,
-				    apr_time_t now, bool *restarted);
+struct tr_node *tr_membership_receive(struct tr_membership *m,
+				      const struct tr_node_status *news,
+				      apr_time_t now, bool *restarted);
 apr_time_t tr_membership_period(const struct tr_membership *m, apr_time_t now);
 bool tr_node_alive(const struct tr_membership *m, const struct tr_node *node,
 		   apr_time_t now);
-bool tr_node_heard_lately(const struct tr_membership *m,
-			  const struct tr_node *node, apr_time_t now);
+bool tr_node_heard_recently(const struct tr_membership *m,
+			    const struct tr_node *node, apr_time_t now);
 bool tr_node_heard_from_start(const struct tr_node *node, apr_time_t now);
 bool tr_node_takes_callers(const struct tr_membership *m,
 			   const struct tr_node *node, apr_time_t now);
-struct tr_node *tr_membership_lost(struct tr_membership *m, apr_time_t now);
+struct tr_node *tr_membership_next_lost(struct tr_membership *m,
+					apr_time_t now);
 unsigned tr_membership_alive(const struct tr_membership *m, apr_time_t now);
-double tr_membership_heard_lately(const struct tr_membership *m,
+double tr_membership_recent_share(const struct tr_membership *m,
 				  apr_time_t now);
-unsigned tr_membership_place(const struct tr_membership *m, apr_time_t now,
-			     unsigned *vms);
-unsigned tr_membership_turn(const struct tr_membership *m, apr_time_t now);
-bool tr_membership_reads(const struct tr_membership *m, apr_time_t now);
+unsigned tr_membership_rank(const struct tr_membership *m, apr_time_t now,
+			    unsigned *vms);
+unsigned tr_membership_read_rank(const struct tr_membership *m, apr_time_t now);
+bool tr_membership_is_reader(const struct tr_membership *m, apr_time_t now);
 
 #endif
--- a/lib/pacer.c
+++ b/lib/pacer.c
@@ -5,7 +5,7 @@
 #define SAVED_S 3.0
 
 /* Is anything left of the rate, in bytes a second? */
-bool tr_pacer_has(struct tr_pacer *pacer, double rate, apr_time_t now)
+bool tr_pacer_allows(struct tr_pacer *pacer, double rate, apr_time_t now)
 {
 	double most = rate * SAVED_S;
 
@@ -20,7 +20,7 @@
 }
 
 /* What was sent counts, also where it had to go whatever was left. */
-void tr_pacer_spend(struct tr_pacer *pacer, double bytes)
+void tr_pacer_consume(struct tr_pacer *pacer, double bytes)
 {
 	pacer->spare -= bytes;
 }
--- a/lib/pacer.h
+++ b/lib/pacer.h
@@ -10,7 +10,7 @@
 	apr_time_t at;
 };
 
-bool tr_pacer_has(struct tr_pacer *pacer, double rate, apr_time_t now);
-void tr_pacer_spend(struct tr_pacer *pacer, double bytes);
+bool tr_pacer_allows(struct tr_pacer *pacer, double rate, apr_time_t now);
+void tr_pacer_consume(struct tr_pacer *pacer, double bytes);
 
 #endif
--- a/lib/result.c
+++ b/lib/result.c
@@ -26,7 +26,7 @@
 }
 
 /* The code's word as it stands in answers and logs, such as "queue-full". */
-const char *tr_result_word(enum tr_result code)
+const char *tr_result_name(enum tr_result code)
 {
 	return find_row(code)->word;
 }
@@ -50,7 +50,7 @@
 }
 
 /* The outcome's word: "answered", "not-run", "unknown", or "none". */
-const char *tr_outcome_word(enum tr_outcome outcome)
+const char *tr_outcome_name(enum tr_outcome outcome)
 {
 	switch (outcome) {
 	case TR_OUTCOME_ANSWERED:
--- a/lib/result.h
+++ b/lib/result.h
@@ -98,10 +98,10 @@
 	TR_OUTCOME_UNKNOWN,
 };
 
-const char *tr_result_word(enum tr_result code);
+const char *tr_result_name(enum tr_result code);
 const char *tr_result_text(enum tr_result code);
 enum tr_outcome tr_result_outcome(enum tr_result code);
 int tr_result_http_status(enum tr_result code);
-const char *tr_outcome_word(enum tr_outcome outcome);
+const char *tr_outcome_name(enum tr_outcome outcome);
 
 #endif
--- a/lib/retry.c
+++ b/lib/retry.c
@@ -11,7 +11,7 @@
 }
 
 /* A request went well: it earns percent hundredths of a retry. */
-void tr_retry_earn(struct tr_retry_budget *budget, uint32_t percent)
+void tr_retry_deposit(struct tr_retry_budget *budget, uint32_t percent)
 {
 	budget->tokens += (double)percent / 100.0;
 	if (budget->tokens > budget->most)
@@ -23,7 +23,7 @@
  * the requests doubles the load just when capacity is short, seen as offered
  * load that rises while useful answers fall.
  */
-bool tr_retry_spend(struct tr_retry_budget *budget)
+bool tr_retry_withdraw(struct tr_retry_budget *budget)
 {
 	if (budget->tokens < 1.0)
 		return false;
--- a/lib/retry.h
+++ b/lib/retry.h
@@ -11,7 +11,7 @@
 };
 
 void tr_retry_init(struct tr_retry_budget *budget);
-void tr_retry_earn(struct tr_retry_budget *budget, uint32_t percent);
-bool tr_retry_spend(struct tr_retry_budget *budget);
+void tr_retry_deposit(struct tr_retry_budget *budget, uint32_t percent);
+bool tr_retry_withdraw(struct tr_retry_budget *budget);
 
 #endif
--- a/lib/revision.c
+++ b/lib/revision.c
@@ -6,18 +6,19 @@
  * team's accepted document back. One would notice by a floor or a route of
  * yesterday.
  */
-enum tr_offer tr_held_offer(const struct tr_held *held, uint64_t revision)
+enum tr_revision_order tr_revision_compare(const struct tr_revision_state *held,
+					   uint64_t revision)
 {
 	if (revision < held->revision)
-		return TR_OFFER_OLD;
+		return TR_REVISION_OLDER;
 	if (revision == held->revision)
-		return TR_OFFER_SAME;
-	return revision == held->refused ? TR_OFFER_REFUSED_BEFORE
-					 : TR_OFFER_NEWS;
+		return TR_REVISION_CURRENT;
+	return revision == held->refused ? TR_REVISION_REFUSED
+					 : TR_REVISION_NEWER;
 }
 
 /* The value of that revision is in force now. */
-void tr_held_accept(struct tr_held *held, uint64_t revision)
+void tr_revision_accept(struct tr_revision_state *held, uint64_t revision)
 {
 	if (revision <= held->revision)
 		return;
@@ -26,7 +27,7 @@
 }
 
 /* The value of that revision did not pass its check; the held one stays. */
-void tr_held_refuse(struct tr_held *held, uint64_t revision)
+void tr_revision_refuse(struct tr_revision_state *held, uint64_t revision)
 {
 	if (revision > held->revision)
 		held->refused = revision;
--- a/lib/spread.c
+++ b/lib/spread.c
@@ -40,7 +40,7 @@
 #define LINK_AHEAD TR_MSEC(80)
 
 /* The newest that a VM in reach says it has. */
-uint64_t tr_spread_newest(const struct tr_membership *m, enum tr_holding what,
+uint64_t tr_spread_newest(const struct tr_membership *m, enum tr_resource what,
 			  apr_time_t now)
 {
 	uint64_t newest = 0;
--- a/lib/spread.h
+++ b/lib/spread.h
@@ -6,7 +6,7 @@
 
 /* Where a VM that lacks the newest of what it asks for stands in getting it. */
 struct tr_spread {
-	enum tr_holding what;
+	enum tr_resource what;
 	uint64_t wanted;
 	uint64_t held_before;
 	apr_time_t lacking_since;
@@ -20,7 +20,7 @@
 	apr_time_t taken_until;
 };
 
-uint64_t tr_spread_newest(const struct tr_membership *m, enum tr_holding what,
+uint64_t tr_spread_newest(const struct tr_membership *m, enum tr_resource what,
 			  apr_time_t now);
 const struct tr_node *tr_spread_holder(struct tr_spread *s,
 				       const struct tr_membership *m,
--- a/src/bench_slopes.c
+++ b/src/bench_slopes.c
@@ -398,8 +398,8 @@
 	uint32_t slot;
 	void *evicted;
 
-	tr_queue_put(&l->q, &waiter, 100, 0, now, &slot, &evicted);
-	tr_queue_take(&l->q, now);
+	tr_queue_push(&l->q, &waiter, 100, 0, now, &slot, &evicted);
+	tr_queue_pop(&l->q, now);
 }
 
 static void bench_queue(void)
@@ -469,7 +469,7 @@
 	printf("%-44s %12zu %-10s %-8s %s\n", "row_of_a_service",
 	       sizeof(struct tr_service), "bytes", "-", "ok");
 	printf("%-44s %12zu %-10s %-8s %s\n", "record_of_a_key",
-	       sizeof(struct tr_record) + 2 * sizeof(uint32_t), "bytes", "-",
-	       "ok");
+	       sizeof(struct tr_dispatch_record) + 2 * sizeof(uint32_t),
+	       "bytes", "-", "ok");
 	return EXIT_SUCCESS;
 }
--- a/src/cmd_check.c
+++ b/src/cmd_check.c
@@ -39,7 +39,7 @@
 		line = json_pack("{s:s, s:b, s:i, s:s, s:i, s:s, s:s, s:s}",
 				 "file", path, "ok", 0, "line", err->line,
 				 "field", err->field, "code", (int)err->code,
-				 "word", tr_result_word(err->code), "value",
+				 "word", tr_result_name(err->code), "value",
 				 err->value, "expected", err->expected);
 	text = json_dumps(line, JSON_COMPACT);
 	printf("%s\n", text ? text : "");
--- a/src/config_internal.h
+++ b/src/config_internal.h
@@ -11,7 +11,7 @@
 
 /* One published value: the text in force, and the newest that was refused. */
 struct value {
-	struct tr_held held;
+	struct tr_revision_state held;
 	char *text;
 	size_t len;
 	char reason[512];
--- a/src/config_offer.c
+++ b/src/config_offer.c
@@ -18,18 +18,18 @@
 static bool is_news(struct config *config, const struct value *value,
 		    uint64_t revision, const char *what, const char *source)
 {
-	switch (tr_held_offer(&value->held, revision)) {
-	case TR_OFFER_NEWS:
+	switch (tr_revision_compare(&value->held, revision)) {
+	case TR_REVISION_NEWER:
 		return true;
-	case TR_OFFER_OLD:
+	case TR_REVISION_OLDER:
 		if (config->counts.old_revisions++ % 50 == 0)
 			tr_board_event(config->board, TR_EVENT_OLD_REVISION,
 				       what, source, "offered %lu, held %lu",
 				       (unsigned long)revision,
 				       (unsigned long)value->held.revision);
 		return false;
-	case TR_OFFER_SAME:
-	case TR_OFFER_REFUSED_BEFORE:
+	case TR_REVISION_CURRENT:
+	case TR_REVISION_REFUSED:
 		break;
 	}
 	return false;
@@ -47,7 +47,7 @@
 	free(value->text);
 	value->text = copy;
 	value->len = len;
-	tr_held_accept(&value->held, revision);
+	tr_revision_accept(&value->held, revision);
 	*value->reason = 0;
 }
 
@@ -55,12 +55,12 @@
 		   uint64_t revision, const char *service,
 		   const struct tr_error *err)
 {
-	tr_held_refuse(&value->held, revision);
+	tr_revision_refuse(&value->held, revision);
 	tr_error_format(err, value->reason, sizeof(value->reason));
 	config->counts.refused++;
 	tr_board_event(config->board, TR_EVENT_REFUSED, service, err->field,
 		       "revision %lu: %s", (unsigned long)revision,
-		       tr_result_word(err->code));
+		       tr_result_name(err->code));
 	log_warning("%s: refused revision %lu: %s", service,
 		    (unsigned long)revision, value->reason);
 }
--- a/src/events_json.c
+++ b/src/events_json.c
@@ -7,7 +7,7 @@
 	return json_pack("{s:I, s:I, s:s, s:s, s:s, s:s}", "wall",
 			 (json_int_t)ev->when.wall, "count",
 			 (json_int_t)ev->when.count, "kind",
-			 tr_event_word(ev->kind), "service", ev->service,
+			 tr_event_name(ev->kind), "service", ev->service,
 			 "subject", ev->subject, "detail", ev->detail);
 }
 
--- a/src/load_report.c
+++ b/src/load_report.c
@@ -120,7 +120,7 @@
 		const struct op *op = load->ops[i];
 
 		snprintf(word, sizeof(word), "%d %s", op->code,
-			 op->code ? tr_result_word((enum tr_result)op->code)
+			 op->code ? tr_result_name((enum tr_result)op->code)
 				  : "no-answer");
 		json_object_set_new(
 			json, word,
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -39,7 +39,7 @@
 				out,
 				"toucanreel_results_total{code=\"%d\","
 				"word=\"%s\"} %" PRIu64 "\n",
-				code, tr_result_word((enum tr_result)code),
+				code, tr_result_name((enum tr_result)code),
 				proxy->counts.by_code[code]);
 }
 
--- a/src/peer.c
+++ b/src/peer.c
@@ -171,7 +171,7 @@
 		return;
 	link->counts.sent++;
 	link->counts.sent_bytes += len;
-	tr_pacer_spend(&link->pacer, (double)len);
+	tr_pacer_consume(&link->pacer, (double)len);
 }
 
 /* Send what is due to the peers of every service. */
@@ -188,8 +188,9 @@
 		for (unsigned i = 0; i < svc->peers_count; i++)
 			if (svc->peers[i].in_cell &&
 			    tr_gossip_due(svc, &svc->peers[i],
-					  tr_pacer_has(&link->pacer,
-						       CONTROL_BYTES_A_S, now),
+					  tr_pacer_allows(&link->pacer,
+							  CONTROL_BYTES_A_S,
+							  now),
 					  now))
 				send_to(link, svc, &svc->peers[i]);
 	}
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -65,7 +65,7 @@
 	    tr_result_http_status(code) != 429)
 		return 0;
 	if (r->svc && r->svc->queue.waiters)
-		return tr_queue_wait_ms(&r->svc->queue);
+		return tr_queue_retry_after_ms(&r->svc->queue);
 	return 1000;
 }
 
@@ -73,8 +73,8 @@
 {
 	json_t *body =
 		json_pack("{s:i, s:s, s:s, s:s, s:s}", "code", (int)code,
-			  "word", tr_result_word(code), "outcome",
-			  tr_outcome_word(tr_result_outcome(code)), "message",
+			  "word", tr_result_name(code), "outcome",
+			  tr_outcome_name(tr_result_outcome(code)), "message",
 			  tr_result_text(code), "service", r->service);
 	char key[TR_KEY_TEXT];
 
@@ -185,7 +185,7 @@
 /* The answer of an earlier request with the same key. */
 static void replay(struct request *r, uint32_t record)
 {
-	const struct tr_record *rec =
+	const struct tr_dispatch_record *rec =
 		&r->proxy->board->dispatcher.records[record];
 
 	r->reply.status = rec->http_status;
@@ -273,10 +273,10 @@
 
 	r->tried.count = 0;
 	r->state = REQUEST_WAITING;
-	res = tr_queue_put(&r->svc->queue, &waiter,
-			   r->svc->document->share_percent,
-			   tr_service_median_latency(r->svc, r->route),
-			   now_of(r->proxy), &r->waiter, &evicted);
+	res = tr_queue_push(&r->svc->queue, &waiter,
+			    r->svc->document->share_percent,
+			    tr_service_median_latency(r->svc, r->route),
+			    now_of(r->proxy), &r->waiter, &evicted);
 	if (evicted) {
 		((struct request *)evicted)->waiter = TR_NO_WAITER;
 		proxy_finish(evicted, TR_QUEUE_FULL);
@@ -340,7 +340,7 @@
 
 		if (!target)
 			return;
-		r = tr_queue_take(&svc->queue, now_of(proxy));
+		r = tr_queue_pop(&svc->queue, now_of(proxy));
 		if (!r)
 			return;
 		r->waiter = TR_NO_WAITER;
@@ -374,7 +374,7 @@
 		return false;
 	if (not_run)
 		return true;
-	return r->may_repeat && tr_retry_spend(&r->svc->retries);
+	return r->may_repeat && tr_retry_withdraw(&r->svc->retries);
 }
 
 static enum tr_result final_code(const struct request *r,
@@ -396,7 +396,7 @@
 
 	note_if_run(r, how);
 	if (how == TR_ATTEMPT_ANSWERED)
-		tr_retry_earn(&svc->retries, svc->document->retry_percent);
+		tr_retry_deposit(&svc->retries, svc->document->retry_percent);
 	if (how == TR_ATTEMPT_FAILED_STATUS && r->forward_out)
 		how = TR_ATTEMPT_ANSWERED;
 	if (how == TR_ATTEMPT_ANSWERED) {
--- a/src/reply.c
+++ b/src/reply.c
@@ -76,9 +76,9 @@
 		return;
 	MHD_add_response_header(
 		response, HEADER_OUTCOME,
-		tr_outcome_word(tr_result_outcome(reply->code)));
+		tr_outcome_name(tr_result_outcome(reply->code)));
 	snprintf(text, sizeof(text), "%d %s", (int)reply->code,
-		 tr_result_word(reply->code));
+		 tr_result_name(reply->code));
 	MHD_add_response_header(response, HEADER_CODE, text);
 	if (reply->replayed)
 		MHD_add_response_header(response, HEADER_REPLAYED, "1");
--- a/src/sweep.c
+++ b/src/sweep.c
@@ -37,7 +37,7 @@
 	    now - r->attempt.began < after || r->attempt.headers_at ||
 	    !attempt_may_replay(r) ||
 	    now + tr_service_median_latency(r->svc, r->route) > r->deadline ||
-	    !tr_retry_spend(&r->svc->retries))
+	    !tr_retry_withdraw(&r->svc->retries))
 		return;
 	r->proxy->counts.hedged++;
 	r->svc->counts.retries++;
@@ -71,8 +71,8 @@
 
 	if (!svc->used || !svc->queue.waiters)
 		return;
-	while ((late = tr_queue_late(&svc->queue,
-				     tr_service_median_latency(svc, 0), now))) {
+	while ((late = tr_queue_pop_late(
+			&svc->queue, tr_service_median_latency(svc, 0), now))) {
 		late->waiter = TR_NO_WAITER;
 		proxy_finish(late, TR_WOULD_BE_LATE);
 	}
--- a/src/toucanreel_platform.c
+++ b/src/toucanreel_platform.c
@@ -102,8 +102,8 @@
 	v->len = len;
 	v->index = ++p->index;
 	g_ptr_array_add(p->versions, v);
-	tr_event_put(&p->events, loop_wall(NULL), TR_EVENT_DOCUMENT, "", key,
-		     "published, revision %lu", (unsigned long)v->index);
+	tr_event_append(&p->events, loop_wall(NULL), TR_EVENT_DOCUMENT, "", key,
+			"published, revision %lu", (unsigned long)v->index);
 }
 
 static const struct rule *rule_for(const struct platform *p, const char *ip)
@@ -274,8 +274,8 @@
 		p->rules_count = 0;
 	else if (p->rules_count < MOST_RULES)
 		p->rules[p->rules_count++] = rule;
-	tr_event_put(&p->events, loop_wall(NULL), TR_EVENT_FAULT, "",
-		     "platform", "%s for %s", mode, *from ? from : "all");
+	tr_event_append(&p->events, loop_wall(NULL), TR_EVENT_FAULT, "",
+			"platform", "%s for %s", mode, *from ? from : "all");
 	return server_answer_json(conn, 200, json_pack("{s:s}", "mode", mode));
 }
 
--- a/src/toucanreel_relay.c
+++ b/src/toucanreel_relay.c
@@ -230,8 +230,9 @@
 		relay->rules_count = 0;
 	else if (relay->rules_count < MOST_RULES)
 		relay->rules[relay->rules_count++] = rule;
-	tr_event_put(&relay->events, loop_wall(NULL), TR_EVENT_FAULT, "",
-		     "relay", "%s from '%s' to '%s'", mode, rule.from, rule.to);
+	tr_event_append(&relay->events, loop_wall(NULL), TR_EVENT_FAULT, "",
+			"relay", "%s from '%s' to '%s'", mode, rule.from,
+			rule.to);
 	return server_answer_json(conn, 200, json_pack("{s:s}", "mode", mode));
 }
 
--- a/src/toucanreel_target.c
+++ b/src/toucanreel_target.c
@@ -361,8 +361,8 @@
 	t->flap_period = TR_MSEC(standin_query_number(conn, "period_ms", 3000));
 	snprintf(t->served_from, sizeof(t->served_from), "%s",
 		 standin_query(conn, "from", "127."));
-	tr_event_put(&t->events, loop_wall(NULL), TR_EVENT_FAULT, "", t->name,
-		     "%s", mode);
+	tr_event_append(&t->events, loop_wall(NULL), TR_EVENT_FAULT, "",
+			t->name, "%s", mode);
 	return server_answer_json(conn, 200,
 				  json_pack("{s:s, s:I}", "mode", mode, "at_us",
 					    (json_int_t)loop_wall(NULL)));
--- a/tests/admit_test.cc
+++ b/tests/admit_test.cc
@@ -34,8 +34,8 @@
 		w.deadline = now + patience;
 		w.organisation = org;
 		w.priority = priority;
-		tr_result res =
-			tr_queue_put(&q, &w, 25, TR_MSEC(10), now, &slot, &out);
+		tr_result res = tr_queue_push(&q, &w, 25, TR_MSEC(10), now,
+					      &slot, &out);
 		if (evicted)
 			*evicted = out;
 		return res;
@@ -43,7 +43,7 @@
 
 	int take()
 	{
-		int *owner = static_cast<int *>(tr_queue_take(&q, now));
+		int *owner = static_cast<int *>(tr_queue_pop(&q, now));
 
 		return owner ? (int)(owner - owners) : -1;
 	}
@@ -137,10 +137,10 @@
 {
 	put(1, TR_PRIORITY_MUST, 0, TR_MSEC(20));
 	put(2, TR_PRIORITY_MUST, 1, TR_SEC(9));
-	EXPECT_EQ(tr_queue_late(&q, TR_MSEC(10), now), nullptr);
+	EXPECT_EQ(tr_queue_pop_late(&q, TR_MSEC(10), now), nullptr);
 	now += TR_MSEC(15);
-	EXPECT_EQ(tr_queue_late(&q, TR_MSEC(10), now), &owners[1]);
-	EXPECT_EQ(tr_queue_late(&q, TR_MSEC(10), now), nullptr);
+	EXPECT_EQ(tr_queue_pop_late(&q, TR_MSEC(10), now), &owners[1]);
+	EXPECT_EQ(tr_queue_pop_late(&q, TR_MSEC(10), now), nullptr);
 	EXPECT_EQ(q.length, 1u);
 }
 
@@ -156,12 +156,12 @@
 
 	tr_retry_init(&budget);
 	for (int i = 0; i < 1000; i++) {
-		tr_retry_earn(&budget, 10);
-		allowed += tr_retry_spend(&budget);
+		tr_retry_deposit(&budget, 10);
+		allowed += tr_retry_withdraw(&budget);
 	}
 	EXPECT_LE(allowed, 110);
 	EXPECT_GE(allowed, 95);
-	while (tr_retry_spend(&budget))
+	while (tr_retry_withdraw(&budget))
 		;
-	EXPECT_FALSE(tr_retry_spend(&budget));
+	EXPECT_FALSE(tr_retry_withdraw(&budget));
 }
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -45,7 +45,7 @@
 
 	void receive_from(uint32_t ip, const std::string &centre)
 	{
-		tr_node_news news{};
+		tr_node_status news{};
 		bool restarted;
 
 		news.ip = ip;
@@ -53,7 +53,7 @@
 		news.sequence = 1;
 		news.data_centre = centre.c_str();
 		news.ready = true;
-		tr_membership_heard(&m, &news, now, &restarted);
+		tr_membership_receive(&m, &news, now, &restarted);
 	}
 
 	std::set<uint32_t> near() const
@@ -121,7 +121,7 @@
 TEST(Group, TheReportedFleetSizeCounts)
 {
 	View view(1, 10);
-	tr_node_news news{};
+	tr_node_status news{};
 	bool restarted;
 
 	news.ip = 2;
@@ -129,12 +129,12 @@
 	news.sequence = 2;
 	news.data_centre = "dc-2";
 	news.fleet_size = 442;
-	tr_membership_heard(&view.m, &news, view.now, &restarted);
+	tr_membership_receive(&view.m, &news, view.now, &restarted);
 	EXPECT_GT(view.m.groups_count, 1u);
 	EXPECT_LT(view.m.near_count, 10u);
 	news.sequence = 3;
 	news.fleet_size = UINT32_MAX;
-	tr_membership_heard(&view.m, &news, view.now, &restarted);
+	tr_membership_receive(&view.m, &news, view.now, &restarted);
 	EXPECT_EQ(tr_membership_size(&view.m), 442u);
 }
 
@@ -172,15 +172,15 @@
 TEST(Group, AVmOfAnotherGroupIsAliveWhileItsGroupReportsIt)
 {
 	View view(6, 442);
-	tr_node_news news{};
+	tr_node_status news{};
 	const tr_node *node;
 
 	view.now += TR_SEC(10);
 	news.ip = 7;
 	news.data_centre = "dc-1";
 	news.ready = true;
-	tr_membership_vouched(&view.m, &news, view.now);
-	node = tr_membership_learn(&view.m, 7);
+	tr_membership_receive_indirect(&view.m, &news, view.now);
+	node = tr_membership_find_or_add(&view.m, 7);
 	EXPECT_TRUE(tr_node_takes_callers(&view.m, node, view.now));
 	view.now += TR_MSEC(1100);
 	EXPECT_FALSE(tr_node_takes_callers(&view.m, node, view.now));
@@ -197,7 +197,7 @@
 	std::set<uint32_t> called;
 
 	view.now += TR_SEC(60);
-	while (tr_node *lost = tr_membership_lost(&view.m, view.now)) {
+	while (tr_node *lost = tr_membership_next_lost(&view.m, view.now)) {
 		lost->called_at = view.now;
 		called.insert(lost->ip);
 	}
--- a/tests/limit_load_test.cc
+++ b/tests/limit_load_test.cc
@@ -165,7 +165,7 @@
 	}
 
 	/* What a VM hears: silence is noticed after a routine message and some
-	 * (tr_membership_heard_lately). */
+	 * (tr_membership_recent_share). */
 	tr_limit_fleet heard(unsigned vm) const
 	{
 		bool noticed =
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -27,7 +27,7 @@
 	tr_node *hear(uint32_t ip, uint64_t boot, uint64_t sequence,
 		      const char *centre = "dc-1", bool *restarted = nullptr)
 	{
-		tr_node_news news{};
+		tr_node_status news{};
 		bool ignored;
 
 		news.ip = ip;
@@ -35,16 +35,16 @@
 		news.sequence = sequence;
 		news.data_centre = centre;
 		news.ready = true;
-		news.held[TR_HOLDS_LIST] = 1;
-		return tr_membership_heard(&m, &news, now,
-					   restarted ? restarted : &ignored);
+		news.held[TR_RESOURCE_LIST] = 1;
+		return tr_membership_receive(&m, &news, now,
+					     restarted ? restarted : &ignored);
 	}
 };
 
 TEST_F(Membership, AVmThatKnowsNobodyIsAliveAndReads)
 {
 	EXPECT_EQ(tr_membership_alive(&m, now), 1u);
-	EXPECT_TRUE(tr_membership_reads(&m, now));
+	EXPECT_TRUE(tr_membership_is_reader(&m, now));
 }
 
 /*
@@ -61,15 +61,15 @@
 			hear(3, 30, i);
 		now += TR_MSEC(50);
 	}
-	EXPECT_DOUBLE_EQ(tr_membership_heard_lately(&m, now), 1);
+	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 1);
 	now += TR_MSEC(250);
 	hear(3, 30, 100);
-	EXPECT_DOUBLE_EQ(tr_membership_heard_lately(&m, now), 2.0 / 3);
+	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 2.0 / 3);
 	/* One that speaks seldom is missed later. */
 	now += TR_MSEC(650);
-	EXPECT_DOUBLE_EQ(tr_membership_heard_lately(&m, now), 2.0 / 3);
+	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 2.0 / 3);
 	now += TR_MSEC(100);
-	EXPECT_DOUBLE_EQ(tr_membership_heard_lately(&m, now), 1.0 / 3);
+	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 1.0 / 3);
 }
 
 /*
@@ -110,13 +110,13 @@
 {
 	hear(2, 20, 1);
 	now += TR_SEC(3600);
-	tr_node *lost = tr_membership_lost(&m, now);
+	tr_node *lost = tr_membership_next_lost(&m, now);
 	ASSERT_NE(lost, nullptr);
 	EXPECT_EQ(lost->ip, 2u);
 	lost->called_at = now;
-	EXPECT_EQ(tr_membership_lost(&m, now), nullptr);
+	EXPECT_EQ(tr_membership_next_lost(&m, now), nullptr);
 	now += TR_SEC(2);
-	EXPECT_NE(tr_membership_lost(&m, now), nullptr);
+	EXPECT_NE(tr_membership_next_lost(&m, now), nullptr);
 }
 
 /*
@@ -153,7 +153,7 @@
 
 	for (uint32_t me = 1; me <= 16; me++) {
 		tr_membership v{};
-		tr_node_news news{};
+		tr_node_status news{};
 		bool restarted;
 		auto centre = [](uint32_t ip) {
 			return "dc-" + std::to_string(ip % 4);
@@ -169,9 +169,9 @@
 			news.boot = ip;
 			news.sequence = 1;
 			news.data_centre = name.c_str();
-			tr_membership_heard(&v, &news, now, &restarted);
+			tr_membership_receive(&v, &news, now, &restarted);
 		}
-		if (tr_membership_reads(&v, now))
+		if (tr_membership_is_reader(&v, now))
 			centres.push_back(centre(me));
 		tr_membership_release(&v);
 	}
@@ -188,7 +188,7 @@
 {
 	for (uint32_t ip = 2; ip <= 8; ip++)
 		hear(ip, ip, 1)->cannot_read = true;
-	EXPECT_TRUE(tr_membership_reads(&m, now));
+	EXPECT_TRUE(tr_membership_is_reader(&m, now));
 }
 
 /* Guards against the few VMs that are left after a loss of most, which wait for
@@ -200,13 +200,13 @@
 			hear(ip, ip, i);
 		now += TR_MSEC(50);
 	}
-	EXPECT_GT(tr_membership_turn(&m, now), 2u);
+	EXPECT_GT(tr_membership_read_rank(&m, now), 2u);
 	for (uint64_t i = 61; i <= 70; i++) {
 		hear(2, 2, i);
 		hear(3, 3, i);
 		now += TR_MSEC(50);
 	}
-	EXPECT_LE(tr_membership_turn(&m, now), 2u);
+	EXPECT_LE(tr_membership_read_rank(&m, now), 2u);
 }
 
 /* Guards against VMs that leave the reading to others which have just started
@@ -215,10 +215,10 @@
 {
 	for (uint32_t ip = 2; ip <= 60; ip++)
 		hear(ip, ip, 1);
-	EXPECT_GT(tr_membership_turn(&m, now), 0u);
+	EXPECT_GT(tr_membership_read_rank(&m, now), 0u);
 	for (unsigned i = 1; i < m.count; i++)
-		m.nodes[i].held[TR_HOLDS_LIST] = 0;
-	EXPECT_EQ(tr_membership_turn(&m, now), 0u);
+		m.nodes[i].held[TR_RESOURCE_LIST] = 0;
+	EXPECT_EQ(tr_membership_read_rank(&m, now), 0u);
 }
 
 /*
@@ -232,11 +232,11 @@
 
 	for (uint32_t ip = 2; ip <= 60; ip++)
 		hear(ip, ip, 1);
-	before = tr_membership_turn(&m, now);
+	before = tr_membership_read_rank(&m, now);
 	EXPECT_GT(before, 0u);
 	for (unsigned i = 1; i < m.count; i++)
 		m.nodes[i].cannot_read = true;
-	EXPECT_EQ(tr_membership_turn(&m, now), before);
+	EXPECT_EQ(tr_membership_read_rank(&m, now), before);
 }
 
 /* Guards against VMs that take each other's turns, since they are of several
@@ -245,19 +245,19 @@
 {
 	unsigned vms = 0;
 
-	EXPECT_EQ(tr_membership_place(&m, now, &vms), 0u);
+	EXPECT_EQ(tr_membership_rank(&m, now, &vms), 0u);
 	EXPECT_EQ(vms, 1u);
 	tr_membership_release(&m);
 	tr_membership_init(&m, 3, 11, "dc-1");
 	hear(4, 40, 1);
 	hear(2, 20, 1);
-	EXPECT_EQ(tr_membership_place(&m, now, &vms), 1u);
+	EXPECT_EQ(tr_membership_rank(&m, now, &vms), 1u);
 	EXPECT_EQ(vms, 3u);
 	hear(2, 20, 2)->ready = false;
-	EXPECT_EQ(tr_membership_place(&m, now, &vms), 0u);
+	EXPECT_EQ(tr_membership_rank(&m, now, &vms), 0u);
 	EXPECT_EQ(vms, 2u);
 	now += TR_MSEC(1300);
-	EXPECT_EQ(tr_membership_place(&m, now, &vms), 0u);
+	EXPECT_EQ(tr_membership_rank(&m, now, &vms), 0u);
 	EXPECT_EQ(vms, 1u);
 }
 
--- a/tests/mesh_test.cc
+++ b/tests/mesh_test.cc
@@ -423,7 +423,7 @@
 	tell();
 	entry_allowance(&e, 0)->own.requests += 100;
 	tell();
-	tr_node *silent = tr_membership_learn(&other.members, 2);
+	tr_node *silent = tr_membership_find_or_add(&other.members, 2);
 	silent->work = node.work;
 	silent->work_count = node.work_count;
 	silent->heard_at = now;
@@ -482,7 +482,7 @@
 	double used = tr_limit_used(limit);
 
 	now += TR_SEC(1);
-	node.heard_since = now - TR_SEC(20);
+	node.boot_heard_at = now - TR_SEC(20);
 	mesh_forget_reports(&other_mesh, &node);
 	own_limit->own = { 302, 302 };
 	own_limit->changed = true;
--- a/tests/pacer_test.cc
+++ b/tests/pacer_test.cc
@@ -21,8 +21,8 @@
 	double sent = 0;
 
 	for (apr_time_t now = TR_SEC(1); now < TR_SEC(61); now += TR_MSEC(20))
-		if (tr_pacer_has(&pacer, 6000, now)) {
-			tr_pacer_spend(&pacer, 400);
+		if (tr_pacer_allows(&pacer, 6000, now)) {
+			tr_pacer_consume(&pacer, 400);
 			sent += 400;
 		}
 	EXPECT_GT(sent, 60 * 6000 * 0.98);
@@ -33,10 +33,10 @@
 {
 	tr_pacer pacer{};
 
-	ASSERT_TRUE(tr_pacer_has(&pacer, 1000, TR_SEC(1)));
-	tr_pacer_spend(&pacer, 5000);
-	EXPECT_FALSE(tr_pacer_has(&pacer, 1000, TR_SEC(2)));
-	EXPECT_TRUE(tr_pacer_has(&pacer, 1000, TR_SEC(3) + TR_MSEC(100)));
+	ASSERT_TRUE(tr_pacer_allows(&pacer, 1000, TR_SEC(1)));
+	tr_pacer_consume(&pacer, 5000);
+	EXPECT_FALSE(tr_pacer_allows(&pacer, 1000, TR_SEC(2)));
+	EXPECT_TRUE(tr_pacer_allows(&pacer, 1000, TR_SEC(3) + TR_MSEC(100)));
 }
 
 /* A peer that has heard nothing for the calm period is told in any case: its
--- a/tests/proof_test.cc
+++ b/tests/proof_test.cc
@@ -32,7 +32,7 @@
 	void hear(uint32_t ip, const char *centre, apr_time_t proof_age)
 	{
 		static uint64_t sequence;
-		tr_node_news news{};
+		tr_node_status news{};
 		bool restarted;
 
 		news.ip = ip;
@@ -41,7 +41,7 @@
 		news.data_centre = centre;
 		news.ready = true;
 		news.proof_age = proof_age;
-		tr_membership_heard(&m, &news, now, &restarted);
+		tr_membership_receive(&m, &news, now, &restarted);
 	}
 
 	const tr_node *ask()
--- a/tests/property_test.cc
+++ b/tests/property_test.cc
@@ -198,16 +198,16 @@
 TEST_F(Property, RevisionsInForceNeverFall)
 {
 	holds("revisions", rc::check([](std::vector<uint8_t> offers) {
-		      tr_held held{};
+		      tr_revision_state held{};
 		      uint64_t before = 0;
 
 		      for (uint8_t offer : offers) {
-			      if (tr_held_offer(&held, offer) ==
-				  TR_OFFER_NEWS) {
+			      if (tr_revision_compare(&held, offer) ==
+				  TR_REVISION_NEWER) {
 				      if (offer % 3)
-					      tr_held_accept(&held, offer);
+					      tr_revision_accept(&held, offer);
 				      else
-					      tr_held_refuse(&held, offer);
+					      tr_revision_refuse(&held, offer);
 			      }
 			      RC_ASSERT(held.revision >= before);
 			      before = held.revision;
--- a/tests/roster_test.cc
+++ b/tests/roster_test.cc
@@ -500,8 +500,7 @@
 
 		t.as_of = as_of;
 		t.digest = tr_roster_digest(&roster) + !equal;
-		return tr_list_check_reported(&check, &roster, &t, &random,
-					      now);
+		return tr_list_check_compare(&check, &roster, &t, &random, now);
 	}
 
 	void SetUp() override
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -156,16 +156,16 @@
 
 TEST(Revision, OnlyRises)
 {
-	tr_held held{};
-
-	EXPECT_EQ(tr_held_offer(&held, 5), TR_OFFER_NEWS);
-	tr_held_accept(&held, 5);
-	EXPECT_EQ(tr_held_offer(&held, 5), TR_OFFER_SAME);
-	EXPECT_EQ(tr_held_offer(&held, 4), TR_OFFER_OLD);
-	tr_held_refuse(&held, 6);
-	EXPECT_EQ(tr_held_offer(&held, 6), TR_OFFER_REFUSED_BEFORE);
-	EXPECT_EQ(tr_held_offer(&held, 7), TR_OFFER_NEWS);
-	tr_held_accept(&held, 4);
+	tr_revision_state held{};
+
+	EXPECT_EQ(tr_revision_compare(&held, 5), TR_REVISION_NEWER);
+	tr_revision_accept(&held, 5);
+	EXPECT_EQ(tr_revision_compare(&held, 5), TR_REVISION_CURRENT);
+	EXPECT_EQ(tr_revision_compare(&held, 4), TR_REVISION_OLDER);
+	tr_revision_refuse(&held, 6);
+	EXPECT_EQ(tr_revision_compare(&held, 6), TR_REVISION_REFUSED);
+	EXPECT_EQ(tr_revision_compare(&held, 7), TR_REVISION_NEWER);
+	tr_revision_accept(&held, 4);
 	EXPECT_EQ(held.revision, 5u);
 }
 
@@ -174,7 +174,8 @@
 	static tr_event_ring ring;
 
 	for (unsigned i = 0; i < TR_EVENT_RING + 10; i++)
-		tr_event_put(&ring, 1000 - i, TR_EVENT_START, "", "", "%u", i);
+		tr_event_append(&ring, 1000 - i, TR_EVENT_START, "", "", "%u",
+				i);
 	EXPECT_EQ(tr_event_first(&ring), 10u);
 	EXPECT_EQ(tr_event_get(&ring, 9), nullptr);
 	for (uint64_t i = 11; i < ring.count; i++)
--- a/tests/spread_test.cc
+++ b/tests/spread_test.cc
@@ -52,7 +52,8 @@
 			vm.link.bytes_a_second = LINKS[i % 4] / 8;
 			for (unsigned k = 0; k < n; k++)
 				if (k != i)
-					tr_membership_learn(&vm.members, k + 1);
+					tr_membership_find_or_add(&vm.members,
+								  k + 1);
 		}
 	}
 
@@ -76,12 +77,12 @@
 
 				if (k == i || vms[k].down)
 					continue;
-				node = tr_membership_learn_at(
+				node = tr_membership_find_or_add_at(
 					&vms[i].members, k + 1,
 					centre(k).c_str());
 				node->heard_at = now;
 				if (now - vms[k].held_at >= TR_MSEC(75))
-					node->held[TR_HOLDS_ROUTES] =
+					node->held[TR_RESOURCE_ROUTES] =
 						vms[k].held;
 			}
 		}
