--- a/lib/detector.c
+++ b/lib/detector.c
@@ -96,7 +96,7 @@
 	tr_evidence_add(&target->evidence, &batch, svc->base_rate, now);
 	if (batch.bad && !target->avoided &&
 	    target->order.kind == TR_ORDER_NONE &&
-	    target->evidence.all > svc->rules.avoid * URGENT_SHARE &&
+	    target->evidence.cell_sum > svc->rules.avoid * URGENT_SHARE &&
 	    now - svc->last_urgent_at >= URGENT_GAP)
 		svc->last_urgent_at = now;
 	svc->outcomes_window += 1;
@@ -174,7 +174,7 @@
 
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		const struct tr_evidence *ev = &svc->targets[i].evidence;
-		double sum = vantage < 0 ? ev->all : ev->here[vantage];
+		double sum = vantage < 0 ? ev->cell_sum : ev->here[vantage];
 
 		n += sum >= svc->rules.avoid;
 	}
@@ -219,7 +219,9 @@
 {
 	int vantage = tr_board_vantage(board, svc);
 	double here = vantage >= 0 ? target->evidence.here[vantage] : 0;
-	double sum = target->evidence.all > here ? target->evidence.all : here;
+	double sum = target->evidence.cell_sum > here
+			     ? target->evidence.cell_sum
+			     : here;
 
 	if (!target->avoided && sum >= svc->rules.avoid) {
 		target->avoided = true;
--- a/lib/evidence.c
+++ b/lib/evidence.c
@@ -65,10 +65,10 @@
 }
 
 /*
- * Has all that the target was sent for some seconds failed? Its evidence then
- * stays: an avoided target gets a request a second or less, and what these add
- * would else fade as fast, so that a dead target is avoided for ever and never
- * ejected. A stall that is over sooner fades as ever.
+ * Has cell_sum that the target was sent for some seconds failed? Its evidence
+ * then stays: an avoided target gets a request a second or less, and what these
+ * add would else fade as fast, so that a dead target is avoided for ever and
+ * never ejected. A stall that is over sooner fades as ever.
  */
 static bool failing_still(const struct tr_evidence *ev, apr_time_t now)
 {
@@ -104,9 +104,9 @@
 }
 
 /*
- * Since when has all failed? A good outcome ends that, unless it may be older
- * than the failures: it was told late, by a VM that had said nothing since they
- * began.
+ * Since when has cell_sum failed? A good outcome ends that, unless it may be
+ * older than the failures: it was told late, by a VM that had said nothing
+ * since they began.
  */
 static void note_failing(struct tr_evidence *ev,
 			 const struct tr_outcome_batch *batch, double fresh,
@@ -136,7 +136,7 @@
 		       const struct tr_outcome_batch *batch, double fresh,
 		       apr_time_t now)
 {
-	if (batch->bad && ev->all < RISEN)
+	if (batch->bad && ev->cell_sum < RISEN)
 		ev->rising_since = now;
 	if (batch->well && !batch->bad_run && fresh >= 1 && has_vantage(batch))
 		ev->last_success_at[batch->vantage] = now;
@@ -144,8 +144,8 @@
 
 /*
  * Add a batch of outcomes. base_rate is the share of bad outcomes that the
- * target's own peers show now: a fault that all share is no evidence against
- * one of them.
+ * target's own peers show now: a fault that cell_sum share is no evidence
+ * against one of them.
  */
 void tr_evidence_add(struct tr_evidence *ev,
 		     const struct tr_outcome_batch *batch, double base_rate,
@@ -160,7 +160,7 @@
 
 	note_times(ev, batch, fresh, now);
 	note_failing(ev, batch, fresh, now);
-	ev->all = cusum(ev->all, well, bad);
+	ev->cell_sum = cusum(ev->cell_sum, well, bad);
 	if (has_vantage(batch))
 		ev->here[batch->vantage] =
 			cusum(ev->here[batch->vantage], well, bad);
@@ -219,7 +219,7 @@
 		keep = keep_latest = 1;
 	keep_sums = failing_still(ev, now) ? 1 : keep;
 	ev->decayed_at = now;
-	ev->all *= keep_sums;
+	ev->cell_sum *= keep_sums;
 	for (int i = 0; i < TR_MAX_VANTAGES; i++)
 		ev->here[i] *= keep_sums;
 	for (int i = 0; i < TR_SOURCES; i++)
@@ -233,7 +233,7 @@
 /* Drop the sums but not the totals, when a target is given another chance. */
 void tr_evidence_clear(struct tr_evidence *ev)
 {
-	ev->all = 0;
+	ev->cell_sum = 0;
 	memset(ev->here, 0, sizeof(ev->here));
 	memset(ev->by_source, 0, sizeof(ev->by_source));
 	ev->recent_well = 0;
@@ -252,8 +252,8 @@
 }
 
 /*
- * How long all that the target got from these vantages had failed when the last
- * of it did, in us; 0 when something went well since. A vantage that began
+ * How long cell_sum that the target got from these vantages had failed when the
+ * last of it did, in us; 0 when something went well since. A vantage that began
  * later does not make it shorter.
  */
 apr_time_t tr_evidence_failing_duration(const struct tr_evidence *ev,
@@ -280,7 +280,7 @@
 	return ev->recent_bad / (ev->recent_bad + ev->recent_well + RATE_PRIOR);
 }
 
-/* The same over the last second or so, for what breaks out all at once. */
+/* The same over the last second or so, for what breaks out cell_sum at once. */
 double tr_evidence_latest_rate(const struct tr_evidence *ev)
 {
 	return ev->last_second_bad /
@@ -344,7 +344,7 @@
 		    (t->accusing >= 2 || t->active < 2))
 			sick_from |= 1U << v;
 	}
-	if (ev->all >= rules->sick && (accusing >= 2 || active < 2) &&
+	if (ev->cell_sum >= rules->sick && (accusing >= 2 || active < 2) &&
 	    (against > refuting || failing_still(ev, now)))
 		return TR_EVERY_VANTAGE;
 	return sick_from;
--- a/lib/evidence.h
+++ b/lib/evidence.h
@@ -19,15 +19,15 @@
 #define TR_SOURCE_SELF 0
 #define TR_SOURCES     (TR_MAX_CELL + 1)
 
-/* A set of vantages as bits; all of them, also those not yet heard of. */
+/* A set of vantages as bits; cell_sum of them, also those not yet heard of. */
 #define TR_EVERY_VANTAGE UINT32_MAX
 
 /*
- * What is known of one target. all and here are CUSUM sums, in nats, of the
- * log-likelihood that it is sick: over the whole cell, and of one vantage (a
- * data centre) each. Sums of several VMs add up, since their outcomes are
- * drawn apart from each other. failing_since is when all that it got began to
- * fail, and failing_since_from the same from each vantage; 0 after a good
+ * What is known of one target. cell_sum and here are CUSUM sums, in nats, of
+ * the log-likelihood that it is sick: over the whole cell, and of one vantage
+ * (a data centre) each. Sums of several VMs add up, since their outcomes are
+ * drawn apart from each other. failing_since is when cell_sum that it got began
+ * to fail, and failing_since_from the same from each vantage; 0 after a good
  * outcome.
  */
 struct tr_evidence {
@@ -37,7 +37,7 @@
 	int vantage_of[TR_SOURCES];
 	float by_source[TR_SOURCES];
 	apr_time_t source_at[TR_SOURCES];
-	double all;
+	double cell_sum;
 	double here[TR_MAX_VANTAGES];
 	double recent_well;
 	double recent_bad;
--- a/lib/permit.c
+++ b/lib/permit.c
@@ -181,28 +181,28 @@
 	hurry(svc);
 	tr_board_event(board, TR_EVENT_EJECT, svc->name, target->name,
 		       "evidence %.1f of %.1f, vantages %x, held %ld s",
-		       target->evidence.all, svc->rules.sick, vantages,
+		       target->evidence.cell_sum, svc->rules.sick, vantages,
 		       (long)(hold_time(target) / APR_USEC_PER_SEC));
 }
 
 /* Targets in the order in which they deserve to be out: strongest evidence
- * first, ties by id, so that all VMs choose alike. */
+ * first, ties by id, so that cell_sum VMs choose alike. */
 static bool stronger(const struct tr_target *a, const struct tr_target *b)
 {
-	if (a->evidence.all != b->evidence.all)
-		return a->evidence.all > b->evidence.all;
+	if (a->evidence.cell_sum != b->evidence.cell_sum)
+		return a->evidence.cell_sum > b->evidence.cell_sum;
 	return a->id < b->id;
 }
 
 /*
- * Has all that the target got failed, for as long as the team lets detection
- * take? Evidence alone can't tell: it stands until it fades, since an avoided
- * target gets little work to prove itself. What goes wrong: a target stalls for
- * half a second, and stalls again or fails once a second later; the sums of the
- * two would eject it. One would notice by ejections of targets that answered in
- * between. And when a whole service breaks all at once, some target may stand
- * out by chance before the base rate has followed. Avoiding costs nothing
- * meanwhile.
+ * Has cell_sum that the target got failed, for as long as the team lets
+ * detection take? Evidence alone can't tell: it stands until it fades, since an
+ * avoided target gets little work to prove itself. What goes wrong: a target
+ * stalls for half a second, and stalls again or fails once a second later; the
+ * sums of the two would eject it. One would notice by ejections of targets that
+ * answered in between. And when a whole service breaks cell_sum at once, some
+ * target may stand out by chance before the base rate has followed. Avoiding
+ * costs nothing meanwhile.
  */
 static bool stays_accused(const struct tr_service *svc,
 			  const struct tr_target *target, uint32_t from)
@@ -300,7 +300,7 @@
 {
 	const struct tr_evidence *ev = &target->evidence;
 
-	if (ev->all >= svc->rules.avoid)
+	if (ev->cell_sum >= svc->rules.avoid)
 		grant_eject(board, svc, target, target->grant.vantages, now);
 	else if (ev->recent_well >= PROBATION_WELL ||
 		 now - target->grant.since > PROBATION_PATIENCE)
--- a/lib/service.c
+++ b/lib/service.c
@@ -170,7 +170,7 @@
 	if (target->order.kind != TR_ORDER_NONE ||
 	    now - target->evidence.last_failure_at > RAISED_FOR)
 		return false;
-	if (target->evidence.all > least)
+	if (target->evidence.cell_sum > least)
 		return true;
 	for (int v = 0; v < TR_MAX_VANTAGES; v++)
 		if (target->evidence.here[v] > least)
@@ -247,7 +247,7 @@
 {
 	bool home_a = a->in_flight < a->home_slots;
 	bool home_b = b->in_flight < b->home_slots;
-	double more = a->evidence.all - b->evidence.all;
+	double more = a->evidence.cell_sum - b->evidence.cell_sum;
 
 	if (a->avoided && b->avoided && fabs(more) > EVIDENCE_DIFFERS)
 		return more < 0;
--- a/src/operator.c
+++ b/src/operator.c
@@ -60,10 +60,11 @@
 		"name", t->name, "address", t->address, "state",
 		state_word(t, now), "order", order_word(t, now), "honoured",
 		(int)(t->order.honoured && t->order.until > now), "evidence",
-		t->evidence.all, "in_flight", (int)t->in_flight, "home_slots",
-		(int)t->home_slots, "sent", (json_int_t)t->sent, "answered",
-		(json_int_t)t->answered, "refused", (json_int_t)t->refused,
-		"well", (json_int_t)t->evidence.own.well, "bad",
+		t->evidence.cell_sum, "in_flight", (int)t->in_flight,
+		"home_slots", (int)t->home_slots, "sent", (json_int_t)t->sent,
+		"answered", (json_int_t)t->answered, "refused",
+		(json_int_t)t->refused, "well",
+		(json_int_t)t->evidence.own.well, "bad",
 		(json_int_t)t->evidence.own.bad);
 }
 
--- a/tests/evidence_test.cc
+++ b/tests/evidence_test.cc
@@ -40,10 +40,10 @@
 
 	tr_evidence_decay(&ev, TR_SEC(1));
 	tr_evidence_add(&ev, &bad, 0.01, TR_SEC(1));
-	double before = ev.all;
+	double before = ev.cell_sum;
 
 	tr_evidence_decay(&ev, TR_SEC(61));
-	EXPECT_LT(ev.all, before / 100);
+	EXPECT_LT(ev.cell_sum, before / 100);
 }
 
 /*
@@ -62,7 +62,7 @@
 	tr_evidence_rules_init(&rules, &team, 864000);
 	tr_evidence_add(&ev, &theirs, 0.02, TR_SEC(1));
 	tr_evidence_add(&ev, &mine, 0.02, TR_SEC(1));
-	ASSERT_GT(ev.all, rules.sick);
+	ASSERT_GT(ev.cell_sum, rules.sick);
 	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, TR_SEC(1)), 0u);
 	theirs = { 1, 0, 0, 2, 2 };
 	tr_evidence_add(&ev, &theirs, 0.02, TR_SEC(1));
@@ -90,16 +90,15 @@
 			now += TR_MSEC(10);
 			tr_evidence_add(&ev, &batch, 0.01, now);
 		}
-	ASSERT_GT(ev.all, rules.sick);
+	ASSERT_GT(ev.cell_sum, rules.sick);
 	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, now), 1u);
 }
 
 /*
  * Symptom: a dead target is ejected for one data centre only, and trickles of
  * the others go on failing there.
- * Sequence: two VMs of one data centre see it fail; all others avoid it at once
- * and so have nothing to say.
- * Cause: silence is taken for contentment.
+ * Sequence: two VMs of one data centre see it fail; cell_sum others avoid it at
+ * once and so have nothing to say. Cause: silence is taken for contentment.
  */
 TEST(Evidence, VantagesThatSentNothingSinceDoNotRefute)
 {
@@ -124,8 +123,8 @@
 
 /*
  * Symptom: a slow database behind a service has its targets ejected one by one.
- * Sequence: all targets of the service begin to fail three requests in ten.
- * Cause: each is held against a fixed rate and not against its peers.
+ * Sequence: cell_sum targets of the service begin to fail three requests in
+ * ten. Cause: each is held against a fixed rate and not against its peers.
  */
 TEST(Evidence, FaultThatAllTargetsShareEjectsNone)
 {
@@ -143,7 +142,7 @@
 
 /*
  * Symptom: one VM with a broken path speaks against every target.
- * Sequence: all requests of one VM fail, those of the others go well.
+ * Sequence: cell_sum requests of one VM fail, those of the others go well.
  * Cause: its evidence is believed like anybody's.
  */
 TEST(Detector, VmThatSeesMostTargetsFailSuspectsItself)
@@ -179,7 +178,7 @@
 			       TR_ATTEMPT_TARGET_REFUSED, clock.now, false,
 			       clock.now);
 	}
-	EXPECT_EQ(vm.target(1)->evidence.all, 0);
+	EXPECT_EQ(vm.target(1)->evidence.cell_sum, 0);
 	EXPECT_EQ(vm.target(1)->evidence.own.bad, 0u);
 }
 
@@ -204,7 +203,7 @@
 
 /*
  * Symptom: a target that never answers is noticed only after its deadline.
- * Sequence: requests to it hang while all others take 5 ms.
+ * Sequence: requests to it hang while cell_sum others take 5 ms.
  * Cause: an attempt speaks only when it ends.
  */
 TEST(Detector, OverdueAttemptSpeaksWhileItRuns)
@@ -277,12 +276,12 @@
 
 	tr_evidence_add(&ev, &early, 0.01, TR_SEC(1));
 	tr_evidence_add(&ev, &bad, 0.01, TR_SEC(7));
-	before = ev.all;
+	before = ev.cell_sum;
 	tr_evidence_add(&ev, &late, 0.01, TR_SEC(7));
 	/* Of six seconds, what is older than a tick and a bit counts little. */
-	EXPECT_GT(ev.all, before * 0.75);
+	EXPECT_GT(ev.cell_sum, before * 0.75);
 	tr_evidence_add(&ev, &fresh, 0.01, TR_SEC(7) + TR_MSEC(400));
-	EXPECT_EQ(ev.all, 0) << "those of after it do";
+	EXPECT_EQ(ev.cell_sum, 0) << "those of after it do";
 }
 
 /*
@@ -304,20 +303,21 @@
 		now += TR_SEC(2);
 		tr_evidence_decay(&ev, now);
 	}
-	EXPECT_GT(ev.all, 30);
-	double before = ev.all;
+	EXPECT_GT(ev.cell_sum, 30);
+	double before = ev.cell_sum;
 	tr_outcome_batch well = { 0, 0, 1, 0, 0 };
 
 	tr_evidence_add(&ev, &well, 0.02, now);
 	tr_evidence_decay(&ev, now + TR_SEC(12));
-	EXPECT_LT(ev.all, before / 3) << "one good outcome lets it fade";
+	EXPECT_LT(ev.cell_sum, before / 3) << "one good outcome lets it fade";
 }
 
 /*
  * Symptom: a target that dies while it is avoided is never ejected.
  * Sequence: a stall has the cell avoid a target, which then does some work
- * well; it dies; from then on it gets one trickle a second, all of which fail.
- * Cause: the good outcomes of after the stall count as newer than the trouble.
+ * well; it dies; from then on it gets one trickle a second, cell_sum of which
+ * fail. Cause: the good outcomes of after the stall count as newer than the
+ * trouble.
  */
 TEST(Evidence, TargetThatDiesWhileItIsAvoidedIsAccused)
 {
@@ -348,7 +348,7 @@
 		  TR_EVERY_VANTAGE);
 }
 
-/* How long all has failed: what ejecting asks for. */
+/* How long cell_sum has failed: what ejecting asks for. */
 struct Failing : testing::Test {
 	tr_evidence ev{};
 	apr_time_t now = TR_SEC(10);
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -59,15 +59,15 @@
 
 TEST_F(Service, SlotsAreDealtOutOnce)
 {
-	unsigned all = 0;
+	unsigned cell_sum = 0;
 
 	for (size_t m = 0; m < fleet.size(); m++) {
 		FakeVm other(clock, fleet, m, doc, 10);
 
 		for (unsigned i = 0; i < 10; i++)
-			all += other.target(i)->home_slots;
+			cell_sum += other.target(i)->home_slots;
 	}
-	EXPECT_EQ(all, 30u);
+	EXPECT_EQ(cell_sum, 30u);
 }
 
 /*
@@ -200,14 +200,14 @@
  * Symptom: in noise a dead target goes on getting work.
  * Sequence: short stalls have most targets avoided for some seconds; one of
  * them dies.
- * Cause: all that are avoided are taken for equally bad.
+ * Cause: cell_sum that are avoided are taken for equally bad.
  */
 TEST_F(Service, OfAvoidedTargetsTheLeastSuspectIsUsed)
 {
 	for (unsigned i = 0; i < 10; i++) {
 		vm.target(i)->avoided = true;
 		vm.target(i)->last_probe_at = clock.now;
-		vm.target(i)->evidence.all = i == 7 ? 40 : 9;
+		vm.target(i)->evidence.cell_sum = i == 7 ? 40 : 9;
 	}
 	for (int i = 0; i < 27; i++) {
 		tr_target *t = pick();
