--- a/lib/admit.c
+++ b/lib/admit.c
@@ -5,9 +5,9 @@
 
 #include "clock.h"
 
-#define RATE_PERIOD TR_MSEC(200)
-#define RATE_KEEP   0.6
-#define LEAST_RATE  1.0
+#define RATE_PERIOD	TR_MSEC(200)
+#define RATE_WEIGHT_OLD 0.6
+#define LEAST_RATE	1.0
 
 /* Room for capacity waiting requests. 0 or -1. */
 int tr_queue_init(struct tr_queue *q, uint32_t capacity)
@@ -222,7 +222,8 @@
 	if (now - q->rated_at < RATE_PERIOD)
 		return;
 	per_s = q->served * 1e6 / (double)(now - q->rated_at);
-	q->rate = q->rate > 0 ? q->rate * RATE_KEEP + per_s * (1 - RATE_KEEP)
+	q->rate = q->rate > 0 ? q->rate * RATE_WEIGHT_OLD +
+					per_s * (1 - RATE_WEIGHT_OLD)
 			      : per_s;
 	q->served = 0;
 	q->rated_at = now;
--- a/lib/board.c
+++ b/lib/board.c
@@ -1,10 +1,13 @@
+/*
+ * The shared state of a VM: finding and adding services, and recording events.
+ */
 #include "board.h"
 
 #include <stdarg.h>
 #include <stdio.h>
 #include <string.h>
 
-/* The service with that name that this VM serves, or NULL. */
+/* Returns the service of that name if this VM serves it, or NULL. */
 struct tr_service *tr_board_service(struct tr_board *board, const char *name)
 {
 	return tr_board_service_by_id(board, tr_hash_string(name));
@@ -18,7 +21,10 @@
 	return NULL;
 }
 
-/* Begin to serve a service; NULL when no row is free. */
+/*
+ * Returns the service of that name, adding it if needed; NULL when no row is
+ * free.
+ */
 struct tr_service *tr_board_add_service(struct tr_board *board,
 					const char *name)
 {
@@ -38,7 +44,9 @@
 	return svc;
 }
 
-/* The index of this VM's data centre in the service's document, or -1. */
+/*
+ * Returns the index of this VM's data centre in the service's document, or -1.
+ */
 int tr_board_vantage(const struct tr_board *board, const struct tr_service *svc)
 {
 	if (!svc->document)
@@ -46,6 +54,7 @@
 	return tr_document_vantage(svc->document, board->data_centre);
 }
 
+/* Returns the target with that id, listed or not, or NULL. */
 struct tr_target *tr_service_target(struct tr_service *svc, uint32_t id)
 {
 	for (unsigned i = 0; i < svc->targets_count; i++)
@@ -54,7 +63,7 @@
 	return NULL;
 }
 
-/* Put an event on the time line. */
+/* Records an event, with the time of the wall clock, if the VM keeps events. */
 void tr_board_event(struct tr_board *board, enum tr_event_kind kind,
 		    const char *service, const char *subject,
 		    const char *detail, ...)
--- a/lib/detector.c
+++ b/lib/detector.c
@@ -1,53 +1,61 @@
+/*
+ * The detectors. The CUSUM detector collects evidence and avoids suspect
+ * targets; ejections that it leads to need an order of the service's owner, see
+ * permit.c.
+ */
 #include "detector.h"
 
 #include <math.h>
 #include <string.h>
 
-#define SELF_LEAST_TARGETS 3
-#define SELF_SICK_RATE	   0.5
-#define SELF_PEERS_RATE	   0.2
+#define SELF_MIN_TARGETS   3
+#define SELF_FAILING_SHARE 0.5
+#define SELF_PEERS_SHARE   0.2
 #define RATE_WINDOW	   TR_SEC(5)
-#define RATE_KEEP	   0.5
+#define RATE_WEIGHT_OLD	   0.5
 #define SECONDS_PER_DAY	   86400.0
 #define URGENT_GAP	   TR_SEC(1)
 #define URGENT_SHARE	   0.4
 #define AVOID_RELEASE	   0.5
-/* Trickles of the whole cell to a target under suspicion in the detection time:
- * so many in a row must fail until it is ejected, and a target that was stalled
- * for a part of that time has answered one of them. */
-#define TRICKLES_A_DETECTION 16
-#define GAP_LEAST	     TR_MSEC(10)
-#define GAP_MOST	     TR_MSEC(2000)
-
-#define HEALTH_IN_A_ROW	   2
-#define ROW_IN_A_ROW	   5
-#define ROW_OUT		   TR_SEC(10)
-#define RATE_LEAST_COUNT   20.0
-#define RATE_DEVIATIONS	   1.9
-#define LOCAL_MOST_PERCENT 30
+/*
+ * Probes that the whole cell sends to a suspect target within the detection
+ * time. All of them must fail before it is ejected; a target that was stalled
+ * for only a part of that time will have answered one.
+ */
+#define PROBES_PER_DETECTION 16
+#define PROBE_INTERVAL_MIN   TR_MSEC(10)
+#define PROBE_INTERVAL_MAX   TR_MSEC(2000)
+
+#define HEALTH_FAILURES		 2
+#define CONSECUTIVE_FAILURES	 5
+#define LOCAL_EJECTION_TIME	 TR_SEC(10)
+#define SUCCESS_RATE_MIN_SAMPLES 20.0
+#define SUCCESS_RATE_DEVIATIONS	 1.9
+#define LOCAL_MAX_PERCENT	 30
 
 /*
- * What a target under suspicion gets from this VM: one request in a gap that
- * shrinks by a quarter when it went well and doubles when not, so that a target
- * that does half its work badly stays at a trickle. Gaps are those of the whole
- * cell, times its VMs.
+ * Adapts the interval at which this VM probes a suspect target: it shrinks by a
+ * quarter after a success and doubles after a failure, so that a target that
+ * fails half its requests stays at few. The bounds are for the whole cell,
+ * hence the factor of its number of VMs.
  */
-static void adjust_trickle(const struct tr_service *svc,
-			   struct tr_target *target, enum tr_signal sign)
+static void adjust_probe_interval(const struct tr_service *svc,
+				  struct tr_target *target,
+				  enum tr_signal signal)
 {
 	apr_time_t vms = svc->cell.count ? (apr_time_t)svc->cell.count : 1;
 
-	if (sign == TR_SIGNAL_SUCCESS)
+	if (signal == TR_SIGNAL_SUCCESS)
 		target->probe_interval = target->probe_interval / 4 * 3;
 	else
 		target->probe_interval *= 2;
-	if (target->probe_interval < GAP_LEAST * vms)
-		target->probe_interval = GAP_LEAST * vms;
-	if (target->probe_interval > GAP_MOST * vms)
-		target->probe_interval = GAP_MOST * vms;
+	if (target->probe_interval < PROBE_INTERVAL_MIN * vms)
+		target->probe_interval = PROBE_INTERVAL_MIN * vms;
+	if (target->probe_interval > PROBE_INTERVAL_MAX * vms)
+		target->probe_interval = PROBE_INTERVAL_MAX * vms;
 }
 
-/* This VM's place in the cell, so that trickles of its VMs do not clump. */
+/* Returns this VM's index in the cell, used to spread the probes of its VMs. */
 static apr_time_t place_in_cell(const struct tr_board *board,
 				const struct tr_service *svc)
 {
@@ -58,37 +66,38 @@
 }
 
 /*
- * Begin a trickle: requests of the cell, evenly spaced over the detection time
- * that the team asks for, which tell whether the trouble lasts.
+ * Starts to probe a suspect target: the requests of the cell are spread evenly
+ * over the detection time that the document gives, and show whether the fault
+ * lasts.
  */
-static void start_trickle(const struct tr_board *board,
+static void start_probing(const struct tr_board *board,
 			  const struct tr_service *svc,
 			  struct tr_target *target, apr_time_t now)
 {
 	apr_time_t vms = svc->cell.count ? (apr_time_t)svc->cell.count : 1;
 	apr_time_t step = TR_MSEC(svc->document->ejection.detect_ms) /
-			  TRICKLES_A_DETECTION;
+			  PROBES_PER_DETECTION;
 
 	target->probe_interval = step * vms;
 	target->last_probe_at = now - step * place_in_cell(board, svc);
 }
 
 static void cusum_outcome(struct tr_board *board, struct tr_service *svc,
-			  struct tr_target *target, enum tr_signal sign,
+			  struct tr_target *target, enum tr_signal signal,
 			  apr_time_t now)
 {
 	struct tr_outcome_batch batch = {
 		.source = TR_SOURCE_SELF,
 		.vantage = tr_board_vantage(board, svc),
-		.well = sign == TR_SIGNAL_SUCCESS,
-		.bad = sign == TR_SIGNAL_FAILURE,
-		.bad_run = sign == TR_SIGNAL_FAILURE,
+		.well = signal == TR_SIGNAL_SUCCESS,
+		.bad = signal == TR_SIGNAL_FAILURE,
+		.bad_run = signal == TR_SIGNAL_FAILURE,
 	};
 
-	if (sign == TR_SIGNAL_NONE)
+	if (signal == TR_SIGNAL_NONE)
 		return;
 	if (target->avoided || target->order.kind != TR_ORDER_NONE)
-		adjust_trickle(svc, target, sign);
+		adjust_probe_interval(svc, target, signal);
 	target->evidence.own.well += batch.well;
 	target->evidence.own.bad += batch.bad;
 	target->evidence.own.bad_run =
@@ -103,47 +112,49 @@
 }
 
 /*
- * Does this VM see most of its targets fail while its peers see them well?
- * Then the fault is its own or its path's. It stops adding to the evidence,
- * since one VM with a broken path would else speak against every target.
+ * Returns whether max targets fail for this VM but not for its peers, which
+ * means that the fault is in this VM or its network path. Peers then ignore its
+ * reports, since it would otherwise accuse every target.
  */
 static bool suspects_itself(const struct tr_service *svc)
 {
-	unsigned mine = 0;
+	unsigned used = 0;
 	unsigned failing = 0;
-	double peers_bad = 0;
-	double peers_all = 0;
+	double accused_by_peers = 0;
+	double total = 0;
 
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		const struct tr_evidence *ev = &svc->targets[i].evidence;
-		double others = 0;
+		double accusers = 0;
 
 		if (ev->by_source[TR_SOURCE_SELF] > 0)
 			failing += ev->by_source[TR_SOURCE_SELF] >
 				   svc->rules.avoid;
-		mine += ev->source_at[TR_SOURCE_SELF] != 0;
+		used += ev->source_at[TR_SOURCE_SELF] != 0;
 		for (int s = 1; s < TR_SOURCES; s++)
-			others += ev->by_source[s] > svc->rules.avoid;
-		peers_bad += others > 0;
-		peers_all += 1;
+			accusers += ev->by_source[s] > svc->rules.avoid;
+		accused_by_peers += accusers > 0;
+		total += 1;
 	}
-	return mine >= SELF_LEAST_TARGETS && failing >= mine * SELF_SICK_RATE &&
-	       peers_bad <= peers_all * SELF_PEERS_RATE;
+	return used >= SELF_MIN_TARGETS &&
+	       failing >= used * SELF_FAILING_SHARE &&
+	       accused_by_peers <= total * SELF_PEERS_SHARE;
 }
 
 static void update_rules(struct tr_service *svc, apr_time_t now)
 {
-	double a_day;
+	double per_day;
 
 	if (now - svc->outcomes_at < RATE_WINDOW)
 		return;
 	if (svc->outcomes_at && svc->targets_count) {
-		a_day = svc->outcomes_window * 1e6 /
-			(double)(now - svc->outcomes_at) * SECONDS_PER_DAY *
-			(double)(svc->cell.count ? svc->cell.count : 1) /
-			svc->targets_count;
-		svc->outcomes_per_day = svc->outcomes_per_day * RATE_KEEP +
-					a_day * (1 - RATE_KEEP);
+		per_day = svc->outcomes_window * 1e6 /
+			  (double)(now - svc->outcomes_at) * SECONDS_PER_DAY *
+			  (double)(svc->cell.count ? svc->cell.count : 1) /
+			  svc->targets_count;
+		svc->outcomes_per_day =
+			svc->outcomes_per_day * RATE_WEIGHT_OLD +
+			per_day * (1 - RATE_WEIGHT_OLD);
 	}
 	svc->outcomes_window = 0;
 	svc->outcomes_at = now;
@@ -159,22 +170,23 @@
 	for (unsigned i = 0; i < svc->targets_count; i++)
 		rates[i] = tr_evidence_rate(&svc->targets[i].evidence);
 	svc->base_rate = tr_evidence_base_rate(rates, svc->targets_count,
-					       svc->rules.least_base);
+					       svc->rules.min_base_rate);
 	for (unsigned i = 0; i < svc->targets_count; i++)
 		rates[i] = tr_evidence_latest_rate(&svc->targets[i].evidence);
 	latest = tr_evidence_base_rate(rates, svc->targets_count,
-				       svc->rules.least_base);
+				       svc->rules.min_base_rate);
 	if (latest > svc->base_rate)
 		svc->base_rate = latest;
 }
 
-static unsigned count_above(const struct tr_service *svc, int vantage)
+static unsigned count_avoidable(const struct tr_service *svc, int vantage)
 {
 	unsigned n = 0;
 
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		const struct tr_evidence *ev = &svc->targets[i].evidence;
-		double sum = vantage < 0 ? ev->cell_sum : ev->here[vantage];
+		double sum =
+			vantage < 0 ? ev->cell_sum : ev->vantage_sum[vantage];
 
 		n += sum >= svc->rules.avoid;
 	}
@@ -182,25 +194,26 @@
 }
 
 /*
- * What at least half of the targets show at once is a fault of the service, or
- * of the path from one vantage, and ejecting would burn capacity for nothing.
- * One would notice by the floor reached within a second of such a fault. The
- * base rate follows too, but later than the sums when requests are many.
+ * Finds faults that at least half of the targets show at once: these are faults
+ * of the service, or of the path from one vantage, and ejecting targets would
+ * only cost capacity. Without this, targets are ejected down to the floor
+ * within a second of such a fault: at high request rates, the base rate follows
+ * later than the sums.
  */
-static void update_shared(struct tr_service *svc)
+static void update_shared_fault(struct tr_service *svc)
 {
 	unsigned half = (svc->targets_count + 1) / 2;
 
-	svc->shared_fault = count_above(svc, -1) >= half;
+	svc->shared_fault = count_avoidable(svc, -1) >= half;
 	svc->shared_fault_vantages = 0;
 	for (int v = 0; v < TR_MAX_VANTAGES; v++)
-		if (count_above(svc, v) >= half)
+		if (count_avoidable(svc, v) >= half)
 			svc->shared_fault_vantages |= 1U << v;
 }
 
 /*
- * From which vantages is there enough against the target for the fleet to stop
- * using it? 0: from none.
+ * Returns the vantages from which the evidence suffices to eject the target, as
+ * a bit mask, without those that see a shared fault; 0 for none.
  */
 uint32_t tr_detector_sick_vantages(const struct tr_service *svc,
 				   const struct tr_target *target,
@@ -218,14 +231,15 @@
 			   struct tr_target *target, apr_time_t now)
 {
 	int vantage = tr_board_vantage(board, svc);
-	double here = vantage >= 0 ? target->evidence.here[vantage] : 0;
-	double sum = target->evidence.cell_sum > here
+	double vantage_sum =
+		vantage >= 0 ? target->evidence.vantage_sum[vantage] : 0;
+	double sum = target->evidence.cell_sum > vantage_sum
 			     ? target->evidence.cell_sum
-			     : here;
+			     : vantage_sum;
 
 	if (!target->avoided && sum >= svc->rules.avoid) {
 		target->avoided = true;
-		start_trickle(board, svc, target, now);
+		start_probing(board, svc, target, now);
 		tr_board_event(board, TR_EVENT_AVOID, svc->name, target->name,
 			       "evidence %.1f of %.1f", sum, svc->rules.sick);
 	} else if (target->avoided && sum < svc->rules.avoid * AVOID_RELEASE) {
@@ -244,7 +258,7 @@
 		update_avoided(board, svc, &svc->targets[i], now);
 	}
 	update_base_rate(svc);
-	update_shared(svc);
+	update_shared_fault(svc);
 	if (suspects_itself(svc) == board->suspects_itself)
 		return;
 	board->suspects_itself = !board->suspects_itself;
@@ -255,9 +269,10 @@
 		       "most targets fail from here only");
 }
 
-/* The baselines: what common proxies do, each VM alone. */
+/* The baseline detectors: what common proxies do, on each VM alone. */
 
-static unsigned local_out(const struct tr_service *svc, apr_time_t now)
+static unsigned local_ejected_count(const struct tr_service *svc,
+				    apr_time_t now)
 {
 	unsigned out = 0;
 
@@ -269,52 +284,53 @@
 static void local_eject(struct tr_board *board, struct tr_service *svc,
 			struct tr_target *target, apr_time_t now)
 {
-	unsigned most = svc->targets_count * LOCAL_MOST_PERCENT / 100;
+	unsigned max = svc->targets_count * LOCAL_MAX_PERCENT / 100;
 
 	if (target->local.ejected_until > now)
 		return;
-	if (local_out(svc, now) >= (most ? most : 1))
+	if (local_ejected_count(svc, now) >= (max ? max : 1))
 		return;
 	target->local.times++;
-	target->local.ejected_until = now + ROW_OUT * target->local.times;
+	target->local.ejected_until =
+		now + LOCAL_EJECTION_TIME * target->local.times;
 	svc->counts.ejections++;
 	tr_board_event(board, TR_EVENT_EJECT, svc->name, target->name,
 		       "%s, this VM alone", svc->detector->name);
 }
 
-static void row_outcome(struct tr_board *board, struct tr_service *svc,
-			struct tr_target *target, enum tr_signal sign,
-			apr_time_t now)
+static void consecutive_outcome(struct tr_board *board, struct tr_service *svc,
+				struct tr_target *target, enum tr_signal signal,
+				apr_time_t now)
 {
-	if (sign == TR_SIGNAL_SUCCESS)
+	if (signal == TR_SIGNAL_SUCCESS)
 		target->local.consecutive_failures = 0;
-	if (sign != TR_SIGNAL_FAILURE ||
-	    ++target->local.consecutive_failures < ROW_IN_A_ROW)
+	if (signal != TR_SIGNAL_FAILURE ||
+	    ++target->local.consecutive_failures < CONSECUTIVE_FAILURES)
 		return;
 	target->local.consecutive_failures = 0;
 	local_eject(board, svc, target, now);
 }
 
-static void rate_outcome(struct tr_board *board, struct tr_service *svc,
-			 struct tr_target *target, enum tr_signal sign,
-			 apr_time_t now)
+static void success_rate_outcome(struct tr_board *board, struct tr_service *svc,
+				 struct tr_target *target,
+				 enum tr_signal signal, apr_time_t now)
 {
 	(void)board;
 	(void)svc;
 	(void)now;
-	target->evidence.recent_well += sign == TR_SIGNAL_SUCCESS;
-	target->evidence.recent_bad += sign == TR_SIGNAL_FAILURE;
+	target->evidence.recent_well += signal == TR_SIGNAL_SUCCESS;
+	target->evidence.recent_bad += signal == TR_SIGNAL_FAILURE;
 }
 
 static double success_rate(const struct tr_evidence *ev)
 {
 	double n = ev->recent_well + ev->recent_bad;
 
-	return n >= RATE_LEAST_COUNT ? ev->recent_well / n : -1;
+	return n >= SUCCESS_RATE_MIN_SAMPLES ? ev->recent_well / n : -1;
 }
 
-static void rate_step(struct tr_board *board, struct tr_service *svc,
-		      apr_time_t now)
+static void success_rate_step(struct tr_board *board, struct tr_service *svc,
+			      apr_time_t now)
 {
 	double sum = 0;
 	double squares = 0;
@@ -332,10 +348,10 @@
 		squares += rate * rate;
 		n++;
 	}
-	if (n < SELF_LEAST_TARGETS)
+	if (n < SELF_MIN_TARGETS)
 		return;
 	least = sum / n -
-		RATE_DEVIATIONS *
+		SUCCESS_RATE_DEVIATIONS *
 			sqrt(fmax(0, squares / n - sum / n * sum / n));
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		double rate = success_rate(&svc->targets[i].evidence);
@@ -345,25 +361,25 @@
 	}
 }
 
-static void health_health(struct tr_board *board, struct tr_service *svc,
-			  struct tr_target *target, bool well, apr_time_t now)
+static void health_check(struct tr_board *board, struct tr_service *svc,
+			 struct tr_target *target, bool well, apr_time_t now)
 {
 	target->local.consecutive_failures =
 		well ? 0 : target->local.consecutive_failures + 1;
 	if (well)
 		target->local.ejected_until = 0;
-	else if (target->local.consecutive_failures >= HEALTH_IN_A_ROW)
+	else if (target->local.consecutive_failures >= HEALTH_FAILURES)
 		local_eject(board, svc, target, now);
 }
 
 static void ignore_outcome(struct tr_board *board, struct tr_service *svc,
-			   struct tr_target *target, enum tr_signal sign,
+			   struct tr_target *target, enum tr_signal signal,
 			   apr_time_t now)
 {
 	(void)board;
 	(void)svc;
 	(void)target;
-	(void)sign;
+	(void)signal;
 	(void)now;
 }
 
@@ -388,20 +404,22 @@
 static const struct tr_detector_ops detectors[] = {
 	[TR_DETECTOR_CUSUM] = { "cusum", true, cusum_outcome, ignore_health,
 				cusum_step },
-	[TR_DETECTOR_HEALTH] = { "health", false, ignore_outcome, health_health,
+	[TR_DETECTOR_HEALTH] = { "health", false, ignore_outcome, health_check,
 				 ignore_step },
-	[TR_DETECTOR_CONSECUTIVE] = { "consecutive", false, row_outcome,
+	[TR_DETECTOR_CONSECUTIVE] = { "consecutive", false, consecutive_outcome,
 				      ignore_health, ignore_step },
-	[TR_DETECTOR_SUCCESS_RATE] = { "success-rate", false, rate_outcome,
-				       ignore_health, rate_step },
+	[TR_DETECTOR_SUCCESS_RATE] = { "success-rate", false,
+				       success_rate_outcome, ignore_health,
+				       success_rate_step },
 };
 
-/* The table of a way to detect; the first is the product's own. */
+/* Returns the operations of a detector. */
 const struct tr_detector_ops *tr_detector(enum tr_detector_kind kind)
 {
 	return &detectors[kind];
 }
 
+/* Returns the detector of that name, or NULL. */
 const struct tr_detector_ops *tr_detector_by_name(const char *name)
 {
 	for (size_t i = 0; i < sizeof(detectors) / sizeof(detectors[0]); i++)
--- a/lib/detector.h
+++ b/lib/detector.h
@@ -1,21 +1,25 @@
+/*
+ * Detectors of sick targets: the CUSUM test over the whole cell, and baselines
+ * that model how other proxies detect them on each VM alone.
+ */
 #ifndef TR_DETECTOR_H
 #define TR_DETECTOR_H
 
 #include "board.h"
 
-/* One outcome of an attempt, as far as it speaks of the target. */
+/* What the outcome of one attempt says about its target. */
 enum tr_signal {
 	TR_SIGNAL_SUCCESS,
 	TR_SIGNAL_FAILURE,
 	TR_SIGNAL_NONE,
 };
 
-/* What varies between the ways to detect a sick target. */
+/* Operations of one detector. */
 struct tr_detector_ops {
 	const char *name;
-	bool fleet;
+	bool fleet; /* uses evidence of all VMs, and ejections need an order */
 	void (*outcome)(struct tr_board *board, struct tr_service *svc,
-			struct tr_target *target, enum tr_signal sign,
+			struct tr_target *target, enum tr_signal signal,
 			apr_time_t now);
 	void (*health)(struct tr_board *board, struct tr_service *svc,
 		       struct tr_target *target, bool well, apr_time_t now);
--- a/lib/evidence.h
+++ b/lib/evidence.h
@@ -1,3 +1,9 @@
+/*
+ * Evidence, from the outcomes of attempts, that a target is sick.
+ *
+ * A vantage is the data centre from which a VM sees the targets, as its index
+ * in the service's document.
+ */
 #ifndef TR_EVIDENCE_H
 #define TR_EVIDENCE_H
 
@@ -7,58 +13,55 @@
 
 #include "document.h"
 
-/* Outcomes since the process started, which only grow; and how many bad ones
- * came after the last good one. */
+/* Outcomes that one VM saw at one target since its process started. */
 struct tr_outcome_totals {
-	uint32_t well;
-	uint32_t bad;
-	uint32_t bad_run;
+	uint32_t well;	  /* successes */
+	uint32_t bad;	  /* failures */
+	uint32_t bad_run; /* failures since the last success */
 };
 
-/* Slot of the VM's own outcomes; the cell's other members follow. */
+/* Index of this VM's own outcomes; those of its peers in the cell follow. */
 #define TR_SOURCE_SELF 0
 #define TR_SOURCES     (TR_MAX_CELL + 1)
 
-/* A set of vantages as bits; cell_sum of them, also those not yet heard of. */
+/* Bit mask of all vantages, including those not heard from yet. */
 #define TR_EVERY_VANTAGE UINT32_MAX
 
 /*
- * What is known of one target. cell_sum and here are CUSUM sums, in nats, of
- * the log-likelihood that it is sick: over the whole cell, and of one vantage
- * (a data centre) each. Sums of several VMs add up, since their outcomes are
- * drawn apart from each other. failing_since is when cell_sum that it got began
- * to fail, and failing_since_from the same from each vantage; 0 after a good
- * outcome.
+ * What is known of one target. The sums are CUSUM statistics: log-likelihood
+ * ratios, in nats, of the target being sick against it being healthy. Sums of
+ * several VMs are added up because their outcomes are taken to be independent.
+ * Times called failing_since are 0 after a success.
  */
 struct tr_evidence {
 	struct tr_outcome_totals own;
-	struct tr_outcome_totals heard[TR_SOURCES];
+	struct tr_outcome_totals heard[TR_SOURCES]; /* totals last received */
 	bool heard_before[TR_SOURCES];
 	int vantage_of[TR_SOURCES];
-	float by_source[TR_SOURCES];
-	apr_time_t source_at[TR_SOURCES];
-	double cell_sum;
-	double here[TR_MAX_VANTAGES];
-	double recent_well;
+	float by_source[TR_SOURCES];	  /* sum of one VM's outcomes */
+	apr_time_t source_at[TR_SOURCES]; /* when outcomes last came */
+	double cell_sum;		  /* sum over the whole cell */
+	double vantage_sum[TR_MAX_VANTAGES];
+	double recent_well; /* decayed counts, for the failure rates */
 	double recent_bad;
 	double last_second_well;
 	double last_second_bad;
 	apr_time_t decayed_at;
 	apr_time_t last_failure_at;
-	apr_time_t rising_since;
-	apr_time_t failing_since;
+	apr_time_t rising_since;  /* when cell_sum began to rise */
+	apr_time_t failing_since; /* when every attempt began to fail */
 	apr_time_t failing_since_from[TR_MAX_VANTAGES];
 	apr_time_t last_success_at[TR_MAX_VANTAGES];
 };
 
-/* When evidence is enough; made from the team's document. */
+/* Thresholds, computed from the ejection rules in the service's document. */
 struct tr_evidence_rules {
-	double sick;
-	double avoid;
-	double least_base;
+	double sick;	      /* sum at which a target may be ejected */
+	double avoid;	      /* sum at which it becomes the last choice */
+	double min_base_rate; /* lower bound of the base rate */
 };
 
-/* One batch of outcomes of one source, seen from one vantage. */
+/* Outcomes of one source that are new, seen from one vantage. */
 struct tr_outcome_batch {
 	unsigned source;
 	int vantage;
--- a/lib/gossip.c
+++ b/lib/gossip.c
@@ -162,8 +162,8 @@
 bool tr_gossip_due(const struct tr_service *svc, const struct tr_peer *peer,
 		   bool within_budget, apr_time_t now)
 {
-	apr_time_t tick =
-		svc->raised ? TR_GOSSIP_PERIOD_ALERT : TR_GOSSIP_PERIOD_IDLE;
+	apr_time_t tick = svc->has_suspects ? TR_GOSSIP_PERIOD_ALERT
+					    : TR_GOSSIP_PERIOD_IDLE;
 
 	if (svc->last_urgent_at > peer->last_sent_at)
 		tick = TR_GOSSIP_PERIOD_URGENT;
--- a/lib/member.c
+++ b/lib/member.c
@@ -124,7 +124,7 @@
 			 struct tr_peer *peer, const struct tr_boot *boot)
 {
 	if (peer->known) {
-		peer->retired[peer->retired_at++ % TR_RETIRED_PEER_BOOTS] =
+		peer->retired[peer->retired_count++ % TR_RETIRED_PEER_BOOTS] =
 			peer->boot;
 		tr_board_event(board, TR_EVENT_PEER_REPLACED, svc->name,
 			       peer->name, "a new process answers for it");
--- a/lib/permit.c
+++ b/lib/permit.c
@@ -1,18 +1,25 @@
+/*
+ * Election of a service's owner and the orders that it gives. Votes and orders
+ * are leases that end at the receiver no later than at the sender, so VMs need
+ * no synchronized clocks, and a VM that is cut off goes back to using every
+ * target.
+ */
 #include "permit.h"
 
 #include "detector.h"
 #include "gossip.h"
 #include "member.h"
 
-#define HOLD_FIRST	   TR_SEC(10)
-#define HOLD_MOST	   TR_SEC(300)
-#define STRIKES_FADE	   TR_SEC(300)
-#define PROBATION_WELL	   10
-#define PROBATION_PATIENCE TR_SEC(60)
+#define HOLD_FIRST	    TR_SEC(10)
+#define HOLD_MOST	    TR_SEC(300)
+#define EJECT_COUNT_RESET   TR_SEC(300)
+#define PROBATION_SUCCESSES 10
+#define PROBATION_MAX	    TR_SEC(60)
 
 /*
- * The VM that should hand out a service's orders, as seen from here: the
- * first by rendezvous among the cell's VMs that are up and hear this one.
+ * Returns the VM that should be the service's owner as seen from here: the one
+ * with the highest rendezvous score among the VMs of the cell that are up and
+ * receive this VM's messages. 0 if there is none.
  */
 uint64_t tr_permit_candidate(const struct tr_board *board,
 			     const struct tr_service *svc, apr_time_t now)
@@ -35,7 +42,7 @@
 	return best;
 }
 
-static void drop_grants(struct tr_service *svc)
+static void clear_grants(struct tr_service *svc)
 {
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		struct tr_grant *grant = &svc->targets[i].grant;
@@ -44,22 +51,23 @@
 	}
 }
 
-static void lose_owner(struct tr_board *board, struct tr_service *svc)
+static void lose_ownership(struct tr_board *board, struct tr_service *svc)
 {
 	svc->vote.owner = false;
-	drop_grants(svc);
+	clear_grants(svc);
 	tr_board_event(board, TR_EVENT_OWNER_LOST, svc->name, board->vm_name,
 		       "%u of %zu votes", svc->vote.votes, svc->cell.count);
 }
 
 /*
- * Does this VM's vote go to for_vm now? A vote stands for TR_VOTE_TTL and is
- * not given to a second VM before that. A process that has just started may
- * have voted in its earlier life, so it waits as long before its first vote.
+ * Votes for for_vm if possible, and returns whether this VM's vote is for it. A
+ * vote lasts TR_VOTE_TTL and does not move to another VM before then. A process
+ * that has just started waits as long before its first vote, since an earlier
+ * process on this VM may have voted.
  *
- * What goes wrong without the wait: a VM votes, is replaced, and votes for
- * another; both candidates count three quarters of the cell and both spend
- * the whole ejection budget, seen as more targets out than the floor allows.
+ * Without that wait, a VM could vote, be replaced and vote for another VM; two
+ * owners would then each have three quarters of the votes and both use the
+ * whole ejection budget, so that more targets are out than the floor allows.
  */
 bool tr_permit_vote(struct tr_board *board, struct tr_service *svc,
 		    uint64_t for_vm, apr_time_t now)
@@ -73,17 +81,18 @@
 	if (for_vm != tr_permit_candidate(board, svc, now))
 		return false;
 	/* Who votes for another gives no more orders, from this very moment. */
+	/* Voting for another VM ends this VM's ownership at once. */
 	if (vote->owner && for_vm != board->vm_id)
-		lose_owner(board, svc);
+		lose_ownership(board, svc);
 	vote->for_vm = for_vm;
 	vote->until = now + TR_VOTE_TTL;
 	return true;
 }
 
 /*
- * A peer's message says whether its vote is this VM's. The vote counts from
- * the time at which this VM sent what the peer echoes, which was before the
- * peer gave it: so it ends here no later than there.
+ * Records whether a peer's message votes for this VM. The vote counts from the
+ * time at which this VM sent the message that the peer echoes. That was before
+ * the peer voted, so the vote ends here no later than there.
  */
 void tr_permit_receive_vote(struct tr_service *svc, struct tr_peer *peer,
 			    bool for_me, apr_time_t now)
@@ -95,8 +104,10 @@
 		peer->vote_until = peer->last_echo_at + TR_VOTE_TTL;
 }
 
-/* Three quarters of the cell: two such parts of cells that differ in up to
- * three of eight VMs still share a member. */
+/*
+ * Three quarters of the cell: two such quorums share a member even if they are
+ * of versions of the cell that differ in up to three of eight VMs.
+ */
 static unsigned votes_needed(const struct tr_service *svc)
 {
 	unsigned n = (unsigned)svc->cell.count;
@@ -108,7 +119,7 @@
 			 apr_time_t now)
 {
 	struct tr_vote *vote = &svc->vote;
-	bool was = vote->owner;
+	bool was_owner = vote->owner;
 
 	vote->needed = votes_needed(svc);
 	vote->votes = tr_permit_vote(board, svc, board->vm_id, now);
@@ -117,39 +128,45 @@
 			svc->peers[i].in_cell && svc->peers[i].vote_until > now;
 	vote->owner = svc->in_cell && vote->votes >= vote->needed &&
 		      vote->needed > 0 && vote->for_vm == board->vm_id;
-	if (vote->owner && !was) {
+	if (vote->owner && !was_owner) {
 		vote->quorum_since = now;
 		tr_board_event(board, TR_EVENT_OWNER, svc->name, board->vm_name,
 			       "%u of %zu votes", vote->votes, svc->cell.count);
 	}
-	if (!vote->owner && was)
-		lose_owner(board, svc);
+	if (!vote->owner && was_owner)
+		lose_ownership(board, svc);
 }
 
-/* Is the target listed, not leaving, warm, and reached from here? */
+/*
+ * Returns whether the target is listed, not leaving, not cold and reachable
+ * from here.
+ */
 bool tr_target_is_serving(const struct tr_target *target, apr_time_t now)
 {
 	return target->listed && !target->leaving &&
 	       target->cold_until <= now && target->unreachable_until <= now;
 }
 
-static bool maybe_out(const struct tr_target *target, apr_time_t now)
+static bool may_be_out(const struct tr_target *target, apr_time_t now)
 {
 	return target->grant.kind != TR_ORDER_NONE ||
 	       target->grant.lease_until > now;
 }
 
-/* Targets that are in use everywhere, as the owner must count them. */
+/* Returns how many targets are certainly in use on every VM. */
 static unsigned owner_in_use(const struct tr_service *svc, apr_time_t now)
 {
 	unsigned n = 0;
 
 	for (unsigned i = 0; i < svc->targets_count; i++)
 		n += tr_target_is_serving(&svc->targets[i], now) &&
-		     !maybe_out(&svc->targets[i], now);
+		     !may_be_out(&svc->targets[i], now);
 	return n;
 }
 
+/*
+ * Returns how long the target is to stay ejected; doubles with each ejection.
+ */
 static apr_time_t hold_time(const struct tr_target *target)
 {
 	apr_time_t hold = HOLD_FIRST;
@@ -159,8 +176,11 @@
 	return hold < HOLD_MOST ? hold : HOLD_MOST;
 }
 
-/* Let the cell hear of an order at once. */
-static void hurry(struct tr_service *svc)
+/*
+ * Makes a message to every peer due, so that the cell learns of an order at
+ * once.
+ */
+static void send_gossip_soon(struct tr_service *svc)
 {
 	for (unsigned i = 0; i < svc->peers_count; i++)
 		svc->peers[i].last_sent_at = 0;
@@ -170,7 +190,7 @@
 			struct tr_target *target, uint32_t vantages,
 			apr_time_t now)
 {
-	if (now - target->last_ejected_at > STRIKES_FADE)
+	if (now - target->last_ejected_at > EJECT_COUNT_RESET)
 		target->eject_count = 0;
 	target->eject_count++;
 	target->last_ejected_at = now;
@@ -178,16 +198,19 @@
 	target->grant.vantages = vantages;
 	target->grant.since = now;
 	target->grant.hold_until = now + hold_time(target);
-	hurry(svc);
+	send_gossip_soon(svc);
 	tr_board_event(board, TR_EVENT_EJECT, svc->name, target->name,
 		       "evidence %.1f of %.1f, vantages %x, held %ld s",
 		       target->evidence.cell_sum, svc->rules.sick, vantages,
 		       (long)(hold_time(target) / APR_USEC_PER_SEC));
 }
 
-/* Targets in the order in which they deserve to be out: strongest evidence
- * first, ties by id, so that cell_sum VMs choose alike. */
-static bool stronger(const struct tr_target *a, const struct tr_target *b)
+/*
+ * Orders targets by the evidence against them, and by id if equal, so that all
+ * VMs choose alike.
+ */
+static bool has_more_evidence(const struct tr_target *a,
+			      const struct tr_target *b)
 {
 	if (a->evidence.cell_sum != b->evidence.cell_sum)
 		return a->evidence.cell_sum > b->evidence.cell_sum;
@@ -195,22 +218,23 @@
 }
 
 /*
- * Has cell_sum that the target got failed, for as long as the team lets
- * detection take? Evidence alone can't tell: it stands until it fades, since an
- * avoided target gets little work to prove itself. What goes wrong: a target
- * stalls for half a second, and stalls again or fails once a second later; the
- * sums of the two would eject it. One would notice by ejections of targets that
- * answered in between. And when a whole service breaks cell_sum at once, some
- * target may stand out by chance before the base rate has followed. Avoiding
- * costs nothing meanwhile.
+ * Returns whether every request to the target has failed for the detection time
+ * of the document. Evidence alone cannot tell: it decays slowly, since an
+ * avoided target gets few requests. Without this, a target that stalls for half
+ * a second, and stalls again or fails once a second later, would be ejected for
+ * the sum of the two though it answered in between. When a whole service breaks
+ * at once, it also keeps a target from being ejected that stands out by chance
+ * before the base rate has risen. The target is avoided meanwhile, which costs
+ * no capacity.
  */
-static bool stays_accused(const struct tr_service *svc,
-			  const struct tr_target *target, uint32_t from)
+static bool fails_long_enough(const struct tr_service *svc,
+			      const struct tr_target *target, uint32_t from)
 {
 	return from && tr_evidence_failing_duration(&target->evidence, from) >=
 			       TR_MSEC(svc->document->ejection.detect_ms);
 }
 
+/* Returns the target with the most evidence that may be ejected, or NULL. */
 static struct tr_target *sickest(struct tr_service *svc, apr_time_t now,
 				 uint32_t *vantages)
 {
@@ -221,11 +245,11 @@
 		uint32_t from;
 
 		if (!target->listed || target->grant.kind != TR_ORDER_NONE ||
-		    target->held_at == now)
+		    target->floor_held_at == now)
 			continue;
 		from = tr_detector_sick_vantages(svc, target, now);
-		if (!stays_accused(svc, target, from) ||
-		    (best && !stronger(target, best)))
+		if (!fails_long_enough(svc, target, from) ||
+		    (best && !has_more_evidence(target, best)))
 			continue;
 		best = target;
 		*vantages = from;
@@ -233,35 +257,39 @@
 	return best;
 }
 
-static void hold_floor(struct tr_board *board, struct tr_service *svc,
-		       struct tr_target *target, apr_time_t now)
+/* Notes that a target stays in use because of the floor. */
+static void note_floor_held(struct tr_board *board, struct tr_service *svc,
+			    struct tr_target *target, apr_time_t now)
 {
-	target->held_at = now;
+	target->floor_held_at = now;
 	if (svc->counts.floor_held++ % 100 == 0)
 		tr_board_event(board, TR_EVENT_FLOOR, svc->name, target->name,
 			       "not ejected: the floor is %u",
 			       svc->document->floor);
 }
 
-/* A target that may still be out somewhere is counted as out already. */
-static unsigned left_without(const struct tr_service *svc,
-			     const struct tr_target *target, apr_time_t now)
+/*
+ * Returns how many targets would be in use without this one. Targets that may
+ * still be out at some VM count as out.
+ */
+static unsigned in_use_without(const struct tr_service *svc,
+			       const struct tr_target *target, apr_time_t now)
 {
-	unsigned left = owner_in_use(svc, now);
+	unsigned in_use = owner_in_use(svc, now);
 
-	return left -
-	       (tr_target_is_serving(target, now) && !maybe_out(target, now));
+	return in_use -
+	       (tr_target_is_serving(target, now) && !may_be_out(target, now));
 }
 
-static void give_grants(struct tr_board *board, struct tr_service *svc,
-			apr_time_t now)
+static void grant_ejections(struct tr_board *board, struct tr_service *svc,
+			    apr_time_t now)
 {
 	struct tr_target *target;
 	uint32_t vantages;
 
 	while ((target = sickest(svc, now, &vantages))) {
-		if (left_without(svc, target, now) < svc->document->floor) {
-			hold_floor(board, svc, target, now);
+		if (in_use_without(svc, target, now) < svc->document->floor) {
+			note_floor_held(board, svc, target, now);
 			continue;
 		}
 		svc->counts.ejections++;
@@ -269,9 +297,9 @@
 	}
 }
 
-/* What was sick from some vantages may have become so from more. */
-static void widen_grant(const struct tr_service *svc, struct tr_target *target,
-			apr_time_t now)
+/* A target that was sick from some vantages may be sick from more now. */
+static void extend_grant(const struct tr_service *svc, struct tr_target *target,
+			 apr_time_t now)
 {
 	target->grant.vantages |= tr_detector_sick_vantages(svc, target, now);
 }
@@ -283,7 +311,7 @@
 	target->grant.since = now;
 	tr_evidence_clear(&target->evidence);
 	tr_board_event(board, TR_EVENT_PROBATION, svc->name, target->name,
-		       "strike %u", target->eject_count);
+		       "after ejection %u", target->eject_count);
 }
 
 static void end_probation(struct tr_board *board, struct tr_service *svc,
@@ -292,7 +320,7 @@
 	target->grant.kind = TR_ORDER_NONE;
 	svc->counts.restores++;
 	tr_board_event(board, TR_EVENT_RESTORE, svc->name, target->name,
-		       "%.0f well of late", target->evidence.recent_well);
+		       "%.0f recent successes", target->evidence.recent_well);
 }
 
 static void review_probation(struct tr_board *board, struct tr_service *svc,
@@ -302,40 +330,43 @@
 
 	if (ev->cell_sum >= svc->rules.avoid)
 		grant_eject(board, svc, target, target->grant.vantages, now);
-	else if (ev->recent_well >= PROBATION_WELL ||
-		 now - target->grant.since > PROBATION_PATIENCE)
+	else if (ev->recent_well >= PROBATION_SUCCESSES ||
+		 now - target->grant.since > PROBATION_MAX)
 		end_probation(board, svc, target);
 }
 
 static struct tr_target *weakest_grant(struct tr_service *svc)
 {
-	struct tr_target *weak = NULL;
+	struct tr_target *weakest = NULL;
 
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		struct tr_target *target = &svc->targets[i];
 
 		if (target->grant.kind == TR_ORDER_NONE)
 			continue;
-		if (!weak || stronger(weak, target))
-			weak = target;
+		if (!weakest || has_more_evidence(weakest, target))
+			weakest = target;
 	}
-	return weak;
+	return weakest;
 }
 
-/* The floor was raised or other targets went: take orders back. */
+/*
+ * Revokes orders, those with the least evidence first, when the floor was
+ * raised or other targets went away.
+ */
 static void revoke_grants(struct tr_board *board, struct tr_service *svc,
 			  apr_time_t now)
 {
-	unsigned left = owner_in_use(svc, now);
-	struct tr_target *weak;
+	unsigned in_use = owner_in_use(svc, now);
+	struct tr_target *weakest;
 
-	for (; left < svc->document->floor; left++) {
-		weak = weakest_grant(svc);
-		if (!weak)
+	for (; in_use < svc->document->floor; in_use++) {
+		weakest = weakest_grant(svc);
+		if (!weakest)
 			return;
-		weak->grant.kind = TR_ORDER_NONE;
-		tr_board_event(board, TR_EVENT_FLOOR, svc->name, weak->name,
-			       "taken back: the floor is %u",
+		weakest->grant.kind = TR_ORDER_NONE;
+		tr_board_event(board, TR_EVENT_FLOOR, svc->name, weakest->name,
+			       "order revoked: the floor is %u",
 			       svc->document->floor);
 	}
 }
@@ -350,13 +381,13 @@
 		    now >= target->grant.hold_until)
 			start_probation(board, svc, target, now);
 		else if (target->grant.kind == TR_ORDER_EJECT)
-			widen_grant(svc, target, now);
+			extend_grant(svc, target, now);
 		else if (target->grant.kind == TR_ORDER_PROBATION)
 			review_probation(board, svc, target, now);
 	}
 }
 
-static void honour_own_grants(struct tr_service *svc, apr_time_t now)
+static void apply_own_grants(struct tr_service *svc, apr_time_t now)
 {
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		struct tr_target *target = &svc->targets[i];
@@ -370,8 +401,9 @@
 }
 
 /*
- * Keep the vote, and as owner hand out, review and take back orders. A new
- * owner waits until every order of an earlier one must have lapsed.
+ * Renews the vote, and if this VM is the owner, gives, reviews and revokes
+ * orders. A new owner gives none until every order of an earlier owner has
+ * ended.
  */
 void tr_permit_step(struct tr_board *board, struct tr_service *svc,
 		    apr_time_t now)
@@ -384,8 +416,8 @@
 	revoke_grants(board, svc, now);
 	review_grants(board, svc, now);
 	if (now - svc->vote.quorum_since >= TR_ORDER_TTL)
-		give_grants(board, svc, now);
-	honour_own_grants(svc, now);
+		grant_ejections(board, svc, now);
+	apply_own_grants(svc, now);
 }
 
 static const struct tr_gossip_order *find_order(const struct tr_gossip *msg,
@@ -397,8 +429,8 @@
 	return NULL;
 }
 
-static void take_order(struct tr_target *target,
-		       const struct tr_gossip_order *order, apr_time_t until)
+static void apply_order(struct tr_target *target,
+			const struct tr_gossip_order *order, apr_time_t until)
 {
 	if (!order) {
 		target->order.kind = TR_ORDER_NONE;
@@ -413,10 +445,10 @@
 }
 
 /*
- * Take in the owner's orders, which are always the whole set. They hold until
- * TR_ORDER_TTL after the time, on this VM's own clock, at which it sent what
- * the owner echoes: a datagram that lay in a buffer while this process was
- * paused is void on arrival.
+ * Applies the owner's orders; a message always holds all of them. They last
+ * until TR_ORDER_TTL after the time, on this VM's own clock, at which it sent
+ * the message that the owner echoes. A datagram that was buffered while this
+ * process was paused has therefore expired when it is read.
  */
 void tr_permit_receive_orders(struct tr_board *board, struct tr_service *svc,
 			      const struct tr_peer *peer,
@@ -430,8 +462,8 @@
 	if (svc->vote.owner || svc->vote.for_vm != peer->vm_id)
 		return;
 	for (unsigned i = 0; i < svc->targets_count; i++)
-		take_order(&svc->targets[i],
-			   find_order(msg, svc->targets[i].id), until);
+		apply_order(&svc->targets[i],
+			    find_order(msg, svc->targets[i].id), until);
 	tr_floor_enforce(board, svc, now);
 }
 
@@ -448,7 +480,7 @@
 	return target->order.vantages & 1U << vantage;
 }
 
-/* Is this VM to keep work from the target at this moment? */
+/* Returns whether this VM must not use the target now. */
 bool tr_permit_in_effect(const struct tr_board *board,
 			 const struct tr_service *svc,
 			 const struct tr_target *target, apr_time_t now)
@@ -456,7 +488,7 @@
 	return target->order.honoured && order_applies(board, svc, target, now);
 }
 
-/* Targets that serve and are in use here. */
+/* Returns how many targets serve and are used by this VM. */
 unsigned tr_floor_in_use(const struct tr_service *svc, apr_time_t now)
 {
 	unsigned n = 0;
@@ -471,20 +503,20 @@
 }
 
 /*
- * Choose which orders this VM honours: the strongest evidence first, and never
- * one that would leave it with fewer targets than the floor of the document
- * it holds. This guard needs nobody else. Writes the orders' honoured.
+ * Chooses which orders this VM follows: those with the most evidence first, and
+ * none that would leave it with fewer targets than the floor of the document it
+ * holds. This check needs no other VM. Sets honoured in each order.
  */
 void tr_floor_enforce(struct tr_board *board, struct tr_service *svc,
 		      apr_time_t now)
 {
-	unsigned left;
+	unsigned in_use;
 
 	if (!svc->document)
 		return;
 	for (unsigned i = 0; i < svc->targets_count; i++)
 		svc->targets[i].order.honoured = false;
-	left = tr_floor_in_use(svc, now);
+	in_use = tr_floor_in_use(svc, now);
 	for (;;) {
 		struct tr_target *best = NULL;
 
@@ -495,14 +527,14 @@
 			    !order_applies(board, svc, target, now))
 				continue;
 			if (tr_target_is_serving(target, now) &&
-			    left <= svc->document->floor)
+			    in_use <= svc->document->floor)
 				continue;
-			if (!best || stronger(target, best))
+			if (!best || has_more_evidence(target, best))
 				best = target;
 		}
 		if (!best)
 			return;
-		left -= tr_target_is_serving(best, now);
+		in_use -= tr_target_is_serving(best, now);
 		best->order.honoured = true;
 	}
 }
--- a/lib/permit.h
+++ b/lib/permit.h
@@ -1,3 +1,8 @@
+/*
+ * Ejection orders. The VMs of a cell elect an owner for each service; only its
+ * orders, which are leases, allow a VM to stop using a target, so that the cell
+ * as a whole never goes below the service's floor.
+ */
 #ifndef TR_PERMIT_H
 #define TR_PERMIT_H
 
--- a/lib/service.c
+++ b/lib/service.c
@@ -1,3 +1,7 @@
+/*
+ * Service configuration and target selection: applies documents and target
+ * lists, picks a target for each request and records how attempts end.
+ */
 #include "service.h"
 
 #include <math.h>
@@ -8,28 +12,29 @@
 #include "member.h"
 #include "permit.h"
 
-#define SLOW_TIMES	 4
-#define SLOW_QUANTILE	 0.8
-#define SLOW_LEAST	 TR_MSEC(30)
-#define SLOW_LEAST_COUNT 30.0f
-#define SLOW_SHARE	 2
-#define EVIDENCE_DIFFERS 2.0
-#define USUAL_QUANTILE	 0.5
-#define FULL_HOME	 TR_MSEC(1)
-#define FULL_LEAST	 TR_MSEC(2)
-#define REPORT_FRESH	 TR_MSEC(100)
-#define UNREACHED_FOR	 TR_SEC(1)
-#define RAISED_FOR	 TR_SEC(2)
-#define RAISED_SHARE	 0.25
-
-/* Free what a document or row owns; the row can be used anew. */
+#define SLOW_FACTOR	      4
+#define SLOW_QUANTILE	      0.8
+#define SLOW_MIN	      TR_MSEC(30)
+#define SLOW_MIN_SAMPLES      30.0f
+#define SLOW_DEADLINE_DIVISOR 2
+#define EVIDENCE_MARGIN	      2.0
+#define MEDIAN_QUANTILE	      0.5
+#define FULL_BACKOFF_HOME     TR_MSEC(1)
+#define FULL_BACKOFF_MIN      TR_MSEC(2)
+#define LOAD_REPORT_MAX_AGE   TR_MSEC(100)
+#define UNREACHED_BACKOFF     TR_SEC(1)
+#define SUSPECT_WINDOW	      TR_SEC(2)
+#define SUSPECT_SHARE	      0.25
+
+/* Frees the queue and marks the service's row as unused. */
 void tr_service_release(struct tr_service *svc)
 {
 	tr_queue_release(&svc->queue);
 	svc->used = false;
 }
 
-static struct tr_target *free_row(struct tr_service *svc)
+/* Returns an unused or no longer listed row, or NULL when the table is full. */
+static struct tr_target *alloc_target(struct tr_service *svc)
 {
 	if (svc->targets_count < TR_MAX_TARGETS)
 		return &svc->targets[svc->targets_count++];
@@ -39,21 +44,21 @@
 	return NULL;
 }
 
-static void begin_leaving(struct tr_board *board, struct tr_service *svc,
-			  struct tr_target *target, const char *source)
+static void mark_leaving(struct tr_board *board, struct tr_service *svc,
+			 struct tr_target *target, const char *source)
 {
 	if (target->leaving)
 		return;
 	target->leaving = true;
 	target->leaving_since = tr_clock_now(&board->clock);
 	tr_board_event(board, TR_EVENT_LEAVING, svc->name, target->name,
-		       "first word from %s", source);
+		       "first announced by %s", source);
 	tr_floor_enforce(board, svc, target->leaving_since);
 }
 
-static void take_entry(struct tr_board *board, struct tr_service *svc,
-		       const struct tr_target_entry *entry, bool first,
-		       const bool *was_listed)
+static void apply_entry(struct tr_board *board, struct tr_service *svc,
+			const struct tr_target_entry *entry, bool first,
+			const bool *was_listed)
 {
 	uint32_t id = (uint32_t)tr_hash_string(entry->name);
 	struct tr_target *target = tr_service_target(svc, id);
@@ -61,7 +66,7 @@
 	bool returned = target && !was_listed[target - svc->targets];
 
 	if (!target) {
-		target = free_row(svc);
+		target = alloc_target(svc);
 		if (!target)
 			return;
 		memset(target, 0, sizeof(*target));
@@ -81,13 +86,16 @@
 	snprintf(target->address, sizeof(target->address), "%s",
 		 entry->address);
 	if (entry->leaving)
-		begin_leaving(board, svc, target, "the published list");
+		mark_leaving(board, svc, target, "the published list");
 	else
 		target->leaving = false;
 }
 
-/* Put the published targets in force. Rows that are no longer listed stay
- * while requests are in flight on them, but get no new work. */
+/*
+ * Applies the published list of targets unless a newer revision is in force.
+ * Rows that are no longer listed are kept while requests are in flight to them,
+ * but get no new requests.
+ */
 void tr_service_set_targets(struct tr_board *board, struct tr_service *svc,
 			    const struct tr_target_entry *entries,
 			    unsigned count, uint64_t revision)
@@ -103,7 +111,7 @@
 	}
 	svc->targets_revision = revision;
 	for (unsigned i = 0; i < count; i++)
-		take_entry(board, svc, &entries[i], first, was_listed);
+		apply_entry(board, svc, &entries[i], first, was_listed);
 	tr_member_update_cell(board, svc);
 	tr_floor_enforce(board, svc, tr_clock_now(&board->clock));
 	tr_board_event(board, TR_EVENT_LIST, svc->name, "targets",
@@ -111,8 +119,8 @@
 		       count);
 }
 
-static void targets_of_document(struct tr_board *board, struct tr_service *svc,
-				uint64_t revision)
+static void apply_document_targets(struct tr_board *board,
+				   struct tr_service *svc, uint64_t revision)
 {
 	const struct tr_document *doc = svc->document;
 	struct tr_target_entry entries[TR_MAX_TARGETS];
@@ -133,8 +141,8 @@
 }
 
 /*
- * Put a checked document in force, unless a newer one is. The row takes over
- * doc; the caller frees the one it replaces.
+ * Applies a validated document unless a newer revision is in force. The service
+ * keeps a pointer to doc; the caller frees the one it replaces.
  */
 void tr_service_set_document(struct tr_board *board, struct tr_service *svc,
 			     struct tr_document *doc, uint64_t revision)
@@ -148,12 +156,12 @@
 	svc->detector = tr_detector(doc->ejection.detector);
 	tr_evidence_rules_init(&svc->rules, &doc->ejection,
 			       svc->outcomes_per_day);
-	if (svc->base_rate < svc->rules.least_base)
-		svc->base_rate = svc->rules.least_base;
+	if (svc->base_rate < svc->rules.min_base_rate)
+		svc->base_rate = svc->rules.min_base_rate;
 	if (!svc->queue.waiters)
 		tr_queue_init(&svc->queue, doc->queue);
 	if (doc->targets_count)
-		targets_of_document(board, svc, revision);
+		apply_document_targets(board, svc, revision);
 	tr_member_update_cell(board, svc);
 	tr_floor_enforce(board, svc, now);
 	tr_board_event(board, TR_EVENT_DOCUMENT, svc->name, "document",
@@ -161,24 +169,28 @@
 		       doc->floor);
 }
 
-/* Does something go wrong with the target that is not dealt with yet? */
+/*
+ * Returns whether the target failed recently and has gathered a good part of
+ * the evidence for an ejection, while no order for it is known. Gossip is more
+ * frequent meanwhile.
+ */
 bool tr_target_is_suspect(const struct tr_service *svc,
 			  const struct tr_target *target, apr_time_t now)
 {
-	double least = svc->rules.sick * RAISED_SHARE;
+	double least = svc->rules.sick * SUSPECT_SHARE;
 
 	if (target->order.kind != TR_ORDER_NONE ||
-	    now - target->evidence.last_failure_at > RAISED_FOR)
+	    now - target->evidence.last_failure_at > SUSPECT_WINDOW)
 		return false;
 	if (target->evidence.cell_sum > least)
 		return true;
 	for (int v = 0; v < TR_MAX_VANTAGES; v++)
-		if (target->evidence.here[v] > least)
+		if (target->evidence.vantage_sum[v] > least)
 			return true;
 	return false;
 }
 
-static bool is_raised(const struct tr_service *svc, apr_time_t now)
+static bool any_suspect(const struct tr_service *svc, apr_time_t now)
 {
 	for (unsigned i = 0; i < svc->targets_count; i++)
 		if (tr_target_is_suspect(svc, &svc->targets[i], now))
@@ -186,7 +198,7 @@
 	return false;
 }
 
-/* Run the controllers of one service; call every 20 to 100 ms. */
+/* Runs the periodic work of one service; call every 20 to 100 ms. */
 void tr_service_step(struct tr_board *board, struct tr_service *svc,
 		     apr_time_t now)
 {
@@ -196,7 +208,7 @@
 	svc->detector->step(board, svc, now);
 	tr_permit_step(board, svc, now);
 	tr_floor_enforce(board, svc, now);
-	svc->raised = is_raised(svc, now);
+	svc->has_suspects = any_suspect(svc, now);
 	if (svc->in_cell)
 		svc->needed_until =
 			now + TR_SEC(2 * (apr_time_t)svc->document->keep_s);
@@ -212,7 +224,7 @@
 
 static uint32_t load_of(const struct tr_target *target, apr_time_t now)
 {
-	if (now - target->reported_at < REPORT_FRESH &&
+	if (now - target->reported_at < LOAD_REPORT_MAX_AGE &&
 	    target->reported_load > target->in_flight)
 		return target->reported_load;
 	return target->in_flight;
@@ -235,32 +247,35 @@
 }
 
 /*
- * Of two that are avoided the better is the one with less against it: in noise
- * many are avoided for a while, and the dead one must be the last of them.
- * Of two free targets the better: one where this VM has slots of its own left,
- * then the less loaded. Slots are dealt out over the cell by rendezvous, so
- * that VMs fill different targets first and seldom collide on three slots. The
- * baselines, which stand for proxies that each act alone, go by load only.
+ * Returns whether a is the better choice. Of two avoided targets, that is the
+ * one with less evidence against it: under noise many targets are avoided for a
+ * while, and one that is really down must be chosen last. Otherwise a target
+ * where this VM has a home slot left is preferred, then the less loaded one.
+ * Home slots are assigned over the cell by rendezvous hashing, so that VMs fill
+ * different targets first and seldom collide on a target with few slots. The
+ * baseline detectors model proxies that do not cooperate, so they compare load
+ * only.
  */
-static bool better(const struct tr_service *svc, const struct tr_target *a,
-		   const struct tr_target *b, apr_time_t now)
+static bool is_better(const struct tr_service *svc, const struct tr_target *a,
+		      const struct tr_target *b, apr_time_t now)
 {
-	bool home_a = a->in_flight < a->home_slots;
-	bool home_b = b->in_flight < b->home_slots;
-	double more = a->evidence.cell_sum - b->evidence.cell_sum;
-
-	if (a->avoided && b->avoided && fabs(more) > EVIDENCE_DIFFERS)
-		return more < 0;
-	if (svc->detector->fleet && home_a != home_b)
-		return home_a;
+	bool a_has_home_slot = a->in_flight < a->home_slots;
+	bool b_has_home_slot = b->in_flight < b->home_slots;
+	double difference = a->evidence.cell_sum - b->evidence.cell_sum;
+
+	if (a->avoided && b->avoided && fabs(difference) > EVIDENCE_MARGIN)
+		return difference < 0;
+	if (svc->detector->fleet && a_has_home_slot != b_has_home_slot)
+		return a_has_home_slot;
 	return load_of(a, now) < load_of(b, now);
 }
 
 struct choice {
 	struct tr_target *best;
-	bool any;
+	bool any; /* some target may be used, even if it is full */
 };
 
+/* Chooses among the avoided or among the other targets, from a random start. */
 static struct choice choose(struct tr_board *board, struct tr_service *svc,
 			    bool avoided, const struct tr_tried *tried,
 			    apr_time_t now)
@@ -280,15 +295,16 @@
 		if (load_of(target, now) >= slots_of(svc, target, now) ||
 		    target->full_until > now)
 			continue;
-		if (!choice.best || better(svc, target, choice.best, now))
+		if (!choice.best || is_better(svc, target, choice.best, now))
 			choice.best = target;
 	}
 	return choice;
 }
 
-static bool on_trickle(const struct tr_board *board,
-		       const struct tr_service *svc,
-		       const struct tr_target *target, apr_time_t now)
+/* Returns whether the target gets only occasional probe requests. */
+static bool is_probed(const struct tr_board *board,
+		      const struct tr_service *svc,
+		      const struct tr_target *target, apr_time_t now)
 {
 	if (target->order.kind == TR_ORDER_PROBATION &&
 	    target->order.until > now)
@@ -297,13 +313,13 @@
 }
 
 /*
- * A target under suspicion that is due for one idempotent request: so that it
- * can prove itself by real work, at little cost while it can't.
+ * Returns a suspect target that is due for one idempotent request, or NULL.
+ * Such probes are real requests: they show whether the target has recovered
+ * and cost little while it has not.
  */
-static struct tr_target *due_trickle(const struct tr_board *board,
-				     struct tr_service *svc,
-				     const struct tr_tried *tried,
-				     apr_time_t now)
+static struct tr_target *due_probe(const struct tr_board *board,
+				   struct tr_service *svc,
+				   const struct tr_tried *tried, apr_time_t now)
 {
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		struct tr_target *target = &svc->targets[i];
@@ -312,7 +328,7 @@
 		    target->unreachable_until > now ||
 		    was_tried(tried, target->id))
 			continue;
-		if (on_trickle(board, svc, target, now) &&
+		if (is_probed(board, svc, target, now) &&
 		    now - target->last_probe_at >= target->probe_interval)
 			return target;
 	}
@@ -320,10 +336,11 @@
 }
 
 /*
- * Choose a target for a request. Targets under suspicion that are not ejected
- * are used only when the others are full: avoiding them takes no capacity
- * away, so it needs nobody's leave. *kind tells how it was chosen, or, with
- * NULL, whether slots were full (BUSY) or no target may be used (NOTHING).
+ * Chooses a target for a request. Avoided targets that are not ejected are used
+ * only when all others are full; that removes no capacity, so it needs no order
+ * of the owner. *kind says how the target was chosen; when NULL is returned, it
+ * says whether all slots are taken (TR_PICK_BUSY) or no target may be used
+ * (TR_PICK_NONE). may_repeat: the request is idempotent.
  */
 struct tr_target *tr_service_pick(struct tr_board *board,
 				  struct tr_service *svc, bool may_repeat,
@@ -331,15 +348,15 @@
 				  enum tr_pick_kind *kind)
 {
 	apr_time_t now = tr_clock_now(&board->clock);
-	struct tr_target *trickle = NULL;
+	struct tr_target *probe = NULL;
 	struct choice first;
 	struct choice second;
 
 	if (may_repeat && !(tried && tried->count))
-		trickle = due_trickle(board, svc, tried, now);
-	if (trickle) {
+		probe = due_probe(board, svc, tried, now);
+	if (probe) {
 		*kind = TR_PICK_PROBE;
-		return trickle;
+		return probe;
 	}
 	*kind = TR_PICK_NORMAL;
 	first = choose(board, svc, false, tried, now);
@@ -352,7 +369,7 @@
 	return NULL;
 }
 
-/* An attempt at the target begins. */
+/* Counts an attempt that is about to be sent to the target. */
 void tr_attempt_begin(struct tr_service *svc, struct tr_target *target,
 		      enum tr_pick_kind kind, apr_time_t now)
 {
@@ -360,11 +377,15 @@
 	target->sent++;
 	if (kind == TR_PICK_PROBE) {
 		target->last_probe_at = now;
-		svc->counts.trickles++;
+		svc->counts.probes++;
 	}
 }
 
-/* How long an answer may take on a route before it counts as slow. */
+/*
+ * Returns the time, in us, after which an answer on a route counts as slow: a
+ * multiple of a high quantile of its latency, bounded by a part of the
+ * deadline, which applies alone until there are enough samples.
+ */
 apr_time_t tr_service_slow_threshold(const struct tr_service *svc,
 				     unsigned route)
 {
@@ -375,27 +396,30 @@
 	if (route < svc->document->routes_count)
 		deadline = TR_MSEC(tr_document_deadline(
 			svc->document, &svc->document->routes[route]));
-	if (l->total < SLOW_LEAST_COUNT)
-		return deadline / SLOW_SHARE;
-	slow = tr_latency_quantile(l, SLOW_QUANTILE) * SLOW_TIMES;
-	if (slow < SLOW_LEAST)
-		return SLOW_LEAST;
-	return slow < deadline / SLOW_SHARE ? slow : deadline / SLOW_SHARE;
+	if (l->total < SLOW_MIN_SAMPLES)
+		return deadline / SLOW_DEADLINE_DIVISOR;
+	slow = tr_latency_quantile(l, SLOW_QUANTILE) * SLOW_FACTOR;
+	if (slow < SLOW_MIN)
+		return SLOW_MIN;
+	return slow < deadline / SLOW_DEADLINE_DIVISOR
+		       ? slow
+		       : deadline / SLOW_DEADLINE_DIVISOR;
 }
 
-/* How long work on a route usually takes. */
+/* Returns the median latency of a route, in us. */
 apr_time_t tr_service_median_latency(const struct tr_service *svc,
 				     unsigned route)
 {
 	return tr_latency_quantile(&svc->latency[route % TR_LATENCY_ROWS],
-				   USUAL_QUANTILE);
+				   MEDIAN_QUANTILE);
 }
 
 /*
- * Has a running attempt taken so long that it speaks against the target? Asked
- * while it runs, since a target that never answers would else be noticed only
- * after its deadline. Counts it at once when true; the end must then be told
- * with counted set. The baselines hear of ends only, as they do elsewhere.
+ * Returns whether a running attempt has taken long enough to count as a failure
+ * of the target. Called while the attempt runs: otherwise a target that never
+ * answers would be noticed only at the deadline. If true, the failure has been
+ * counted, and tr_attempt_end() must be called with counted set. The baseline
+ * detectors see only finished attempts, as in the proxies they model.
  */
 bool tr_attempt_overdue(struct tr_board *board, struct tr_service *svc,
 			struct tr_target *target, unsigned route,
@@ -409,10 +433,10 @@
 	return true;
 }
 
-static enum tr_signal sign_of(const struct tr_service *svc,
-			      const struct tr_target *target, unsigned route,
-			      enum tr_attempt_end how, apr_time_t took,
-			      apr_time_t now)
+static enum tr_signal signal_of(const struct tr_service *svc,
+				const struct tr_target *target, unsigned route,
+				enum tr_attempt_end how, apr_time_t took,
+				apr_time_t now)
 {
 	switch (how) {
 	case TR_ATTEMPT_ANSWERED:
@@ -424,7 +448,7 @@
 	case TR_ATTEMPT_ABANDONED:
 		return TR_SIGNAL_NONE;
 	case TR_ATTEMPT_TIMED_OUT:
-		/* A caller with little patience is no proof of a slow target.
+		/* A short deadline of the caller is no sign of a slow target.
 		 */
 		return took < tr_service_slow_threshold(svc, route)
 			       ? TR_SIGNAL_NONE
@@ -440,37 +464,39 @@
 }
 
 /*
- * How long a target that refused is left alone: where this VM has slots of its
- * own, hardly; where it borrows, a good part of what work takes. Under
- * overload each VM then fills its own slots, and few attempts are refused.
+ * Returns how long to back off from a target that refused a request, in us.
+ * Where this VM has a home slot free, that is short; elsewhere about half to
+ * one and a half times the median latency. Under overload each VM then fills
+ * its home slots, and few attempts are refused.
  */
-static apr_time_t full_for(struct tr_board *board, const struct tr_service *svc,
-			   const struct tr_target *target, unsigned route)
+static apr_time_t full_backoff(struct tr_board *board,
+			       const struct tr_service *svc,
+			       const struct tr_target *target, unsigned route)
 {
-	apr_time_t usual = tr_service_median_latency(svc, route);
+	apr_time_t median = tr_service_median_latency(svc, route);
 
 	if (target->in_flight < target->home_slots)
-		return FULL_HOME;
-	if (usual < FULL_LEAST)
-		return FULL_LEAST;
-	return usual / 2 + tr_random_below(&board->random, (uint32_t)usual);
+		return FULL_BACKOFF_HOME;
+	if (median < FULL_BACKOFF_MIN)
+		return FULL_BACKOFF_MIN;
+	return median / 2 + tr_random_below(&board->random, (uint32_t)median);
 }
 
 /*
- * An attempt ended. counted: it was overdue and has spoken already. Shedding,
- * the caller's own faults and abandoned attempts say nothing of the target's
- * health.
+ * Records the end of an attempt. counted: tr_attempt_overdue() has already
+ * counted it as a failure. Refusals for lack of a slot, errors of the caller
+ * and abandoned attempts are not counted for or against the target.
  */
 void tr_attempt_end(struct tr_board *board, struct tr_service *svc,
 		    struct tr_target *target, unsigned route,
 		    enum tr_attempt_end how, apr_time_t began, bool counted,
 		    apr_time_t now)
 {
-	enum tr_signal sign;
+	enum tr_signal signal;
 
 	if (target->in_flight)
 		target->in_flight--;
-	sign = sign_of(svc, target, route, how, now - began, now);
+	signal = signal_of(svc, target, route, how, now - began, now);
 	if (how == TR_ATTEMPT_ANSWERED) {
 		target->answered++;
 		tr_latency_add(&svc->latency[route % TR_LATENCY_ROWS],
@@ -478,24 +504,25 @@
 	}
 	if (how == TR_ATTEMPT_TARGET_REFUSED) {
 		target->refused++;
-		target->full_until = now + full_for(board, svc, target, route);
+		target->full_until =
+			now + full_backoff(board, svc, target, route);
 	}
 	if (how == TR_ATTEMPT_UNREACHED) {
-		target->unreachable_until = now + UNREACHED_FOR;
+		target->unreachable_until = now + UNREACHED_BACKOFF;
 		tr_floor_enforce(board, svc, now);
 	}
 	if (!counted)
-		svc->detector->outcome(board, svc, target, sign, now);
+		svc->detector->outcome(board, svc, target, signal, now);
 }
 
-/* The target itself said that it is leaving: no new work from now on. */
+/* The target announced that it is leaving: it gets no new requests. */
 void tr_target_announce_leaving(struct tr_board *board, struct tr_service *svc,
 				struct tr_target *target)
 {
-	begin_leaving(board, svc, target, "the target");
+	mark_leaving(board, svc, target, "the target");
 }
 
-/* The target told how many of its slots are busy. */
+/* Records the number of busy slots that the target reported. */
 void tr_target_set_reported_load(struct tr_target *target, uint32_t load,
 				 apr_time_t now)
 {
@@ -503,7 +530,7 @@
 	target->reported_at = now;
 }
 
-/* The result code of a request whose last attempt ended so. */
+/* Returns the result code of a request whose last attempt ended this way. */
 enum tr_result tr_attempt_result(enum tr_attempt_end how)
 {
 	switch (how) {
--- a/lib/service.h
+++ b/lib/service.h
@@ -1,10 +1,12 @@
+/* Applying a service's configuration, choosing targets and counting attempts.
+ */
 #ifndef TR_SERVICE_H
 #define TR_SERVICE_H
 
 #include "board.h"
 #include "detector.h"
 
-/* One row of the published list of targets. */
+/* One target of the published list. */
 struct tr_target_entry {
 	char name[TR_NAME_MAX + 1];
 	char address[46];
@@ -12,20 +14,21 @@
 	bool leaving;
 };
 
+/* How tr_service_pick() chose a target, or why it found none. */
 enum tr_pick_kind {
 	TR_PICK_NORMAL,
-	TR_PICK_PROBE,
-	TR_PICK_BUSY,
-	TR_PICK_NONE,
+	TR_PICK_PROBE, /* a suspect target that is due for a request */
+	TR_PICK_BUSY,  /* all slots are taken */
+	TR_PICK_NONE,  /* no target may be used */
 };
 
-/* Targets that a request has been to; it does not go there again. */
+/* Targets that a request has already tried and is not sent to again. */
 struct tr_tried {
 	uint32_t ids[8];
 	unsigned count;
 };
 
-/* How one attempt at a target ended, as the adapter saw it. */
+/* How one attempt at a target ended, as the HTTP proxy saw it. */
 enum tr_attempt_end {
 	TR_ATTEMPT_ANSWERED,
 	TR_ATTEMPT_FAILED_STATUS,
--- a/tests/evidence_test.cc
+++ b/tests/evidence_test.cc
@@ -13,7 +13,7 @@
 	tr_evidence_rules_init(&a, &cautious, 864000);
 	tr_evidence_rules_init(&b, &eager, 864000);
 	EXPECT_GT(a.sick, b.sick);
-	EXPECT_GT(a.least_base, b.least_base);
+	EXPECT_GT(a.min_base_rate, b.min_base_rate);
 }
 
 TEST(Evidence, LateAndDoubledTotalsCountOnce)
--- a/tests/pacer_test.cc
+++ b/tests/pacer_test.cc
@@ -47,7 +47,7 @@
 	tr_peer peer{};
 	apr_time_t now = TR_SEC(100);
 
-	svc.raised = true;
+	svc.has_suspects = true;
 	peer.last_sent_at = now - TR_MSEC(600);
 	EXPECT_TRUE(tr_gossip_due(&svc, &peer, true, now));
 	EXPECT_FALSE(tr_gossip_due(&svc, &peer, false, now));
