--- a/lib/dispatch.c
+++ b/lib/dispatch.c
@@ -6,7 +6,7 @@
 #include "clock.h"
 #include "hash.h"
 
-static uint32_t now_s(apr_time_t now)
+static uint32_t seconds_of(apr_time_t now)
 {
 	return (uint32_t)(now / APR_USEC_PER_SEC);
 }
@@ -16,35 +16,38 @@
 	return &d->by_number[number % d->capacity];
 }
 
-static uint32_t *own_chain(const struct tr_dispatcher *d, uint64_t own_key)
+static uint32_t *idempotency_chain(const struct tr_dispatcher *d,
+				   uint64_t idempotency_key)
 {
-	return &d->by_own_key[own_key % d->capacity];
+	return &d->by_idempotency_key[idempotency_key % d->capacity];
 }
 
 /*
- * Set up a table for capacity requests, whose keys live lifetime_s seconds,
- * and which keeps up to answer_bytes_max bytes of answers. 0 or -1.
+ * Sets up a table for capacity requests, whose keys live lifetime_s seconds,
+ * and which keeps up to max_answer_bytes bytes of answers. Returns 0, or -1
+ * when out of memory.
  */
 int tr_dispatcher_init(struct tr_dispatcher *d, const struct tr_boot *boot,
 		       const struct tr_secret *secret, uint32_t capacity,
-		       uint32_t lifetime_s, size_t answer_bytes_max)
+		       uint32_t lifetime_s, size_t max_answer_bytes)
 {
 	memset(d, 0, sizeof(*d));
 	d->boot = *boot;
 	d->secret = secret;
 	d->capacity = capacity;
 	d->lifetime_s = lifetime_s;
-	d->answer_bytes_max = answer_bytes_max;
+	d->max_answer_bytes = max_answer_bytes;
 	d->by_number = calloc(capacity, sizeof(*d->by_number));
-	d->by_own_key = calloc(capacity, sizeof(*d->by_own_key));
+	d->by_idempotency_key =
+		calloc(capacity, sizeof(*d->by_idempotency_key));
 	d->records = calloc(capacity, sizeof(*d->records));
-	if (!d->by_number || !d->by_own_key || !d->records) {
+	if (!d->by_number || !d->by_idempotency_key || !d->records) {
 		tr_dispatcher_release(d);
 		return -1;
 	}
 	for (uint32_t i = 0; i < capacity; i++) {
 		d->by_number[i] = TR_NO_RECORD;
-		d->by_own_key[i] = TR_NO_RECORD;
+		d->by_idempotency_key[i] = TR_NO_RECORD;
 		d->records[i].next = i + 1 < capacity ? i + 1 : TR_NO_RECORD;
 	}
 	return 0;
@@ -55,12 +58,15 @@
 	for (uint32_t i = 0; d->records && i < d->capacity; i++)
 		free(d->records[i].answer);
 	free(d->by_number);
-	free(d->by_own_key);
+	free(d->by_idempotency_key);
 	free(d->records);
 	memset(d, 0, sizeof(*d));
 }
 
-/* Mint a key for a service. Costs no memory until it is used. */
+/*
+ * Mints a key for a request to a service. It uses no memory until it is
+ * admitted.
+ */
 void tr_dispatcher_mint(struct tr_dispatcher *d, uint64_t service,
 			apr_time_t now, char text[TR_KEY_TEXT])
 {
@@ -68,7 +74,7 @@
 		.boot = d->boot,
 		.number = ++d->next_number,
 		.service = service,
-		.expiry_s = now_s(now) + d->lifetime_s,
+		.expiry_s = seconds_of(now) + d->lifetime_s,
 		.address = d->address,
 		.port = d->port,
 	};
@@ -76,7 +82,7 @@
 	tr_key_write(&key, d->secret, text);
 }
 
-static uint32_t find_number(const struct tr_dispatcher *d, uint64_t number)
+static uint32_t find_by_number(const struct tr_dispatcher *d, uint64_t number)
 {
 	uint32_t i = *number_chain(d, number);
 
@@ -85,17 +91,20 @@
 	return i;
 }
 
-static uint32_t find_own(const struct tr_dispatcher *d, uint64_t own_key)
+static uint32_t find_by_idempotency_key(const struct tr_dispatcher *d,
+					uint64_t idempotency_key)
 {
-	uint32_t i = own_key ? *own_chain(d, own_key) : TR_NO_RECORD;
+	uint32_t i = idempotency_key ? *idempotency_chain(d, idempotency_key)
+				     : TR_NO_RECORD;
 
-	while (i != TR_NO_RECORD && d->records[i].own_key != own_key)
-		i = d->records[i].next_own;
+	while (i != TR_NO_RECORD &&
+	       d->records[i].idempotency_key != idempotency_key)
+		i = d->records[i].next_by_idempotency_key;
 	return i;
 }
 
 static uint32_t add_record(struct tr_dispatcher *d, const struct tr_key *key,
-			   uint64_t fingerprint, uint64_t own_key)
+			   uint64_t fingerprint, uint64_t idempotency_key)
 {
 	uint32_t i = d->free_head;
 	struct tr_dispatch_record *r;
@@ -108,15 +117,16 @@
 	memset(r, 0, sizeof(*r));
 	r->number = key->number;
 	r->fingerprint = fingerprint;
-	r->own_key = own_key;
+	r->idempotency_key = idempotency_key;
 	r->expiry_s = key->expiry_s;
 	r->state = TR_DISPATCH_ADMITTED;
 	r->next = *chain;
 	*chain = i;
-	r->next_own = TR_NO_RECORD;
-	if (own_key) {
-		r->next_own = *own_chain(d, own_key);
-		*own_chain(d, own_key) = i;
+	r->next_by_idempotency_key = TR_NO_RECORD;
+	if (idempotency_key) {
+		r->next_by_idempotency_key =
+			*idempotency_chain(d, idempotency_key);
+		*idempotency_chain(d, idempotency_key) = i;
 	}
 	d->used++;
 	return i;
@@ -145,19 +155,22 @@
 }
 
 /*
- * May a request with this key be sent on now? TR_OK: yes, and *record is its
- * record, to be given to _sent and _finish. TR_ANSWERED: it ran, *record
- * holds the answer. Any other code is final for this call.
+ * Returns whether a request with this key may be sent now. TR_OK: it may, and
+ * *record is its record, to be passed to tr_dispatcher_sent() and
+ * tr_dispatcher_finish(). TR_ANSWERED: it has run, and *record holds the
+ * answer. Any other code is the final result of this call. idempotency_key is
+ * the hash of the caller's own key, or 0.
  *
- * What goes wrong without it: a caller that times out sends the same purchase
- * again, and the saver's wallet is drawn twice. One sees it as two runs of one
- * number in the targets' ledgers. Only the process named by the key passes
- * the first check, and it sends one number at most once.
+ * Without this, a caller that times out and sends the same purchase again would
+ * be charged twice; the targets' ledgers would show two runs of one number.
+ * Only the process that the key names passes the check, and it sends each
+ * number at most once.
  */
 enum tr_result tr_dispatcher_admit(struct tr_dispatcher *d,
 				   const struct tr_key *key, uint64_t service,
-				   uint64_t fingerprint, uint64_t own_key,
-				   apr_time_t now, uint32_t *record)
+				   uint64_t fingerprint,
+				   uint64_t idempotency_key, apr_time_t now,
+				   uint32_t *record)
 {
 	uint32_t i;
 
@@ -166,16 +179,16 @@
 		return TR_KEY_MALFORMED;
 	if (memcmp(key->boot.id, d->boot.id, TR_BOOT_SIZE))
 		return TR_KEY_DEAD;
-	if (now_s(now) > key->expiry_s)
+	if (seconds_of(now) > key->expiry_s)
 		return TR_KEY_EXPIRED;
-	i = find_number(d, key->number);
+	i = find_by_number(d, key->number);
 	if (i == TR_NO_RECORD)
-		i = find_own(d, own_key);
+		i = find_by_idempotency_key(d, idempotency_key);
 	if (i != TR_NO_RECORD) {
 		*record = i;
 		return admit_known(&d->records[i], fingerprint);
 	}
-	i = add_record(d, key, fingerprint, own_key);
+	i = add_record(d, key, fingerprint, idempotency_key);
 	if (i == TR_NO_RECORD)
 		return TR_KEYS_FULL;
 	*record = i;
@@ -183,8 +196,8 @@
 }
 
 /*
- * Say, before the first byte leaves, that the request is being sent: from
- * here on only an answer or a proof of not-run clears it.
+ * Marks the request as sent; call before its first byte is written. From then
+ * on, only an answer or proof that it did not run settles it.
  */
 void tr_dispatcher_sent(struct tr_dispatcher *d, uint32_t record)
 {
@@ -203,7 +216,7 @@
 		type_len = sizeof(r->content_type) - 1;
 	if (type_len)
 		memcpy(r->content_type, content_type, type_len);
-	if (!len || !answer || d->answer_bytes + len > d->answer_bytes_max)
+	if (!len || !answer || d->answer_bytes + len > d->max_answer_bytes)
 		return;
 	r->answer = malloc(len);
 	if (!r->answer)
@@ -213,9 +226,9 @@
 }
 
 /*
- * Record how a request ended. With ANSWERED the answer is kept while there is
- * room (answer may be NULL if it was streamed through); the fact is always
- * kept until the key expires.
+ * Records how a request ended. An answer is kept while there is room; answer
+ * may be NULL if it was streamed. That the request was answered is kept until
+ * the key expires.
  */
 void tr_dispatcher_finish(struct tr_dispatcher *d, uint32_t record,
 			  enum tr_outcome outcome, int http_status,
@@ -246,24 +259,24 @@
 	*at = d->records[i].next;
 }
 
-static void unlink_own(struct tr_dispatcher *d, uint32_t i)
+static void unlink_idempotency_key(struct tr_dispatcher *d, uint32_t i)
 {
 	uint32_t *at;
 
-	if (!d->records[i].own_key)
+	if (!d->records[i].idempotency_key)
 		return;
-	at = own_chain(d, d->records[i].own_key);
+	at = idempotency_chain(d, d->records[i].idempotency_key);
 	while (*at != i)
-		at = &d->records[*at].next_own;
-	*at = d->records[i].next_own;
+		at = &d->records[*at].next_by_idempotency_key;
+	*at = d->records[i].next_by_idempotency_key;
 }
 
-static void forget(struct tr_dispatcher *d, uint32_t i)
+static void free_record(struct tr_dispatcher *d, uint32_t i)
 {
 	struct tr_dispatch_record *r = &d->records[i];
 
 	unlink_number(d, i);
-	unlink_own(d, i);
+	unlink_idempotency_key(d, i);
 	if (r->answer)
 		d->answer_bytes -= r->answer_len;
 	free(r->answer);
@@ -274,23 +287,23 @@
 }
 
 /*
- * Look at up to most records and forget those whose key has expired. A key
- * past its expiry is refused by _admit, so forgetting it is safe.
+ * Checks up to most records and frees those of finished requests whose key has
+ * expired. That is safe because tr_dispatcher_admit() refuses expired keys.
  */
 void tr_dispatcher_sweep(struct tr_dispatcher *d, apr_time_t now, uint32_t most)
 {
 	if (most > d->capacity)
 		most = d->capacity;
 	while (most--) {
-		uint32_t i = d->sweep_at;
+		uint32_t i = d->sweep_index;
 		const struct tr_dispatch_record *r = &d->records[i];
 
-		d->sweep_at = (i + 1) % d->capacity;
+		d->sweep_index = (i + 1) % d->capacity;
 		if (r->state == TR_DISPATCH_FREE ||
 		    r->state == TR_DISPATCH_ADMITTED ||
 		    r->state == TR_DISPATCH_SENT)
 			continue;
-		if (now_s(now) > r->expiry_s)
-			forget(d, i);
+		if (seconds_of(now) > r->expiry_s)
+			free_record(d, i);
 	}
 }
--- a/lib/document.c
+++ b/lib/document.c
@@ -1,3 +1,4 @@
+/* Defaults, validation and route matching of a team's document. */
 #include "document.h"
 
 #include <stdbool.h>
@@ -6,19 +7,21 @@
 
 #include "error.h"
 
-#define DEFAULT_CELL	    8
-#define DEFAULT_KEEP_S	    20
-#define DEFAULT_LEAVE_S	    30
-#define DEFAULT_COLD_S	    5
-#define DEFAULT_DEADLINE_MS 2000
-#define DEFAULT_BODY_MB	    1
-#define DEFAULT_RETRY	    20
-#define DEFAULT_QUEUE	    64
-#define DEFAULT_SHARE	    25
-#define DEFAULT_DETECT_MS   2000
-#define DEFAULT_FALSE	    0.1
-
-/* Give every field that was left out (is 0) its documented default. */
+#define DEFAULT_CELL	      8
+#define DEFAULT_KEEP_S	      20
+#define DEFAULT_LEAVE_S	      30
+#define DEFAULT_COLD_S	      5
+#define DEFAULT_DEADLINE_MS   2000
+#define DEFAULT_MAX_BODY_MB   1
+#define DEFAULT_RETRY_PERCENT 20
+#define DEFAULT_QUEUE	      64
+#define DEFAULT_SHARE_PERCENT 25
+#define DEFAULT_DETECT_MS     2000
+#define DEFAULT_FALSE_PER_DAY 0.1
+
+/*
+ * Sets every field that is 0, that is, was left out, to its documented default.
+ */
 void tr_document_defaults(struct tr_document *doc)
 {
 	static const struct {
@@ -33,10 +36,13 @@
 		{ offsetof(struct tr_document, cold_s), DEFAULT_COLD_S },
 		{ offsetof(struct tr_document, deadline_ms),
 		  DEFAULT_DEADLINE_MS },
-		{ offsetof(struct tr_document, max_body_mb), DEFAULT_BODY_MB },
-		{ offsetof(struct tr_document, retry_percent), DEFAULT_RETRY },
+		{ offsetof(struct tr_document, max_body_mb),
+		  DEFAULT_MAX_BODY_MB },
+		{ offsetof(struct tr_document, retry_percent),
+		  DEFAULT_RETRY_PERCENT },
 		{ offsetof(struct tr_document, queue), DEFAULT_QUEUE },
-		{ offsetof(struct tr_document, share_percent), DEFAULT_SHARE },
+		{ offsetof(struct tr_document, share_percent),
+		  DEFAULT_SHARE_PERCENT },
 		{ offsetof(struct tr_document, ejection.detect_ms),
 		  DEFAULT_DETECT_MS },
 	};
@@ -49,7 +55,7 @@
 			*field = defaults[i].value;
 	}
 	if (doc->ejection.false_per_day == 0)
-		doc->ejection.false_per_day = DEFAULT_FALSE;
+		doc->ejection.false_per_day = DEFAULT_FALSE_PER_DAY;
 }
 
 static int check_name(const char *name, const char *field, struct tr_error *err)
@@ -103,8 +109,8 @@
 	return 0;
 }
 
-static int check_one_target(const struct tr_document *doc, unsigned i,
-			    struct tr_error *err)
+static int check_target(const struct tr_document *doc, unsigned i,
+			struct tr_error *err)
 {
 	const struct tr_listed_target *target = &doc->targets[i];
 	char field[64];
@@ -142,7 +148,7 @@
 				    "expected at most %d targets",
 				    TR_MAX_TARGETS);
 	for (unsigned i = 0; i < doc->targets_count; i++)
-		if (check_one_target(doc, i, err))
+		if (check_target(doc, i, err))
 			return -1;
 	return 0;
 }
@@ -252,9 +258,9 @@
 }
 
 /*
- * Check a document whose defaults are filled in. The same check runs in the
- * daemon and in "toucanreel check". Returns 0, or -1 with err's field, value
- * and expected set; whoever knows the file adds its name and line.
+ * Validates a document whose defaults are set. The daemon and "toucanreel
+ * check" run the same check. Returns 0, or -1 with the code, field, value and
+ * expected text set in err; the reader of the file adds its name and line.
  */
 int tr_document_check(const struct tr_document *doc, struct tr_error *err)
 {
@@ -272,7 +278,10 @@
 	return 0;
 }
 
-static bool path_below(const char *path, const char *prefix)
+/*
+ * Returns whether path is prefix or lies below it; a query string may follow.
+ */
+static bool path_matches(const char *path, const char *prefix)
 {
 	size_t len = strlen(prefix);
 
@@ -291,8 +300,8 @@
 }
 
 /*
- * The route with the longest path that covers the request, or NULL. Of two
- * with the same path, the one that names the method goes first.
+ * Returns the route with the longest path that matches the request, or NULL. Of
+ * two routes with the same path, one that lists the method is preferred.
  */
 const struct tr_route *tr_document_route(const struct tr_document *doc,
 					 const char *method, const char *path)
@@ -304,7 +313,7 @@
 		const struct tr_route *route = &doc->routes[i];
 		size_t len = strlen(route->path) * 2 + !!route->methods_count;
 
-		if (len > best_len && path_below(path, route->path) &&
+		if (len > best_len && path_matches(path, route->path) &&
 		    method_matches(route, method)) {
 			best = route;
 			best_len = len;
@@ -313,7 +322,7 @@
 	return best;
 }
 
-/* The deadline of a request on a route, in milliseconds. */
+/* Returns the deadline of a request on a route, in milliseconds. */
 uint32_t tr_document_deadline(const struct tr_document *doc,
 			      const struct tr_route *route)
 {
@@ -322,7 +331,7 @@
 	return doc->deadline_ms;
 }
 
-/* The index of a data centre in the document, or -1. */
+/* Returns the index of a data centre in the document, or -1. */
 int tr_document_vantage(const struct tr_document *doc, const char *data_centre)
 {
 	for (unsigned i = 0; data_centre && i < doc->data_centres_count; i++)
--- a/lib/document.h
+++ b/lib/document.h
@@ -1,3 +1,7 @@
+/*
+ * A team's document, which configures its service: the routes, the targets and
+ * the limits. Read and checked whenever a new revision is published.
+ */
 #ifndef TR_DOCUMENT_H
 #define TR_DOCUMENT_H
 
@@ -11,11 +15,13 @@
 #define TR_MAX_CELL	16
 #define TR_NAME_MAX	47
 
+/* Whether a request of a route may be sent more than once. */
 enum tr_repeat {
 	TR_REPEAT_IDEMPOTENT,
 	TR_REPEAT_NEVER,
 };
 
+/* Which requests go first when slots are scarce. */
 enum tr_priority {
 	TR_PRIORITY_MUST,
 	TR_PRIORITY_NORMAL,
@@ -23,6 +29,7 @@
 	TR_PRIORITIES,
 };
 
+/* How sick targets are detected, see detector.h. */
 enum tr_detector_kind {
 	TR_DETECTOR_CUSUM,
 	TR_DETECTOR_HEALTH,
@@ -30,14 +37,14 @@
 	TR_DETECTOR_SUCCESS_RATE,
 };
 
-/* How requests below a path are treated. deadline_ms 0: the service's. */
+/* How requests below a path are handled. */
 struct tr_route {
 	char *path;
-	char **methods;
+	char **methods; /* none: every method */
 	unsigned methods_count;
 	enum tr_repeat repeat;
 	enum tr_priority priority;
-	uint32_t deadline_ms;
+	uint32_t deadline_ms; /* 0: that of the service */
 };
 
 struct tr_listed_target {
@@ -46,32 +53,32 @@
 	char *data_centre;
 };
 
+/* How readily targets are ejected. */
 struct tr_ejection_rules {
-	double false_per_day;
-	uint32_t detect_ms;
+	double false_per_day; /* accepted false ejections a day */
+	uint32_t detect_ms;   /* how long a target must fail */
 	enum tr_detector_kind detector;
 };
 
 /*
- * A team's document: how its service should be treated. Exactly one of
- * targets and target_list says which targets there are.
+ * The settings of one service; exactly one of targets and target_list is set.
  */
 struct tr_document {
 	char *service;
 	char *team;
 	char **data_centres;
 	unsigned data_centres_count;
-	char *target_list;
+	char *target_list; /* name of a published list */
 	struct tr_listed_target *targets;
 	unsigned targets_count;
-	uint32_t floor;
+	uint32_t floor; /* targets that must stay in use */
 	struct tr_ejection_rules ejection;
-	uint32_t slots;
+	uint32_t slots; /* concurrent requests at one target */
 	uint32_t connections;
-	uint32_t cell;
-	uint32_t keep_s;
+	uint32_t cell;	 /* VMs that serve the service */
+	uint32_t keep_s; /* how long callers keep a looked-up address */
 	uint32_t leave_s;
-	uint32_t cold_s;
+	uint32_t cold_s; /* how long a new target gets one request at a time */
 	uint32_t deadline_ms;
 	uint32_t max_body_mb;
 	uint32_t retry_percent;
--- a/lib/error.c
+++ b/lib/error.c
@@ -4,8 +4,8 @@
 #include <stdio.h>
 
 /*
- * Fill in the error and return -1, so that a check can end in one statement.
- * The file and line are left as they are; the reader of the file sets them.
+ * Sets all fields but the file and the line, which the reader of the file adds.
+ * Always returns -1, so that a check can return its result. err may be NULL.
  */
 int tr_error_set(struct tr_error *err, enum tr_result code, const char *field,
 		 const char *value, const char *expected, ...)
@@ -23,7 +23,7 @@
 	return -1;
 }
 
-/* Write "file:line: field 'x': value 'y': word: expected ..." into buf. */
+/* Writes "file:line: field: 'value': (code N): expected ..." into buf. */
 void tr_error_format(const struct tr_error *err, char *buf, size_t size)
 {
 	char line[16] = "";
--- a/lib/error.h
+++ b/lib/error.h
@@ -6,8 +6,8 @@
 #include "result.h"
 
 /*
- * Where and why something was refused. Passed down by the caller; line 0 and
- * empty strings mean "does not apply".
+ * Where and why an input was rejected. Allocated by the caller; line 0 and
+ * empty strings mean that the field does not apply.
  */
 struct tr_error {
 	enum tr_result code;
--- a/lib/event.c
+++ b/lib/event.c
@@ -1,10 +1,14 @@
+/* The ring of events. */
 #include "event.h"
 
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdio.h>
 
-/* Put an event at the ring's end; the oldest gives way. wall is in us. */
+/*
+ * Appends an event, overwriting the oldest if the ring is full. wall is the
+ * wall clock in us; service and subject may be NULL.
+ */
 void tr_event_append(struct tr_event_ring *ring, uint64_t wall,
 		     enum tr_event_kind kind, const char *service,
 		     const char *subject, const char *detail, ...)
@@ -24,13 +28,13 @@
 	ring->count++;
 }
 
-/* The number of the oldest event still kept. */
+/* Returns the number of the oldest event that is kept. */
 uint64_t tr_event_first(const struct tr_event_ring *ring)
 {
 	return ring->count > TR_EVENT_RING ? ring->count - TR_EVENT_RING : 0;
 }
 
-/* An event by its number, or NULL when it is not kept. */
+/* Returns an event by its number, or NULL if it is not kept. */
 const struct tr_event *tr_event_get(const struct tr_event_ring *ring,
 				    uint64_t number)
 {
@@ -39,6 +43,7 @@
 	return &ring->events[number % TR_EVENT_RING];
 }
 
+/* Returns the event kind's name in the output, such as "peer-up". */
 const char *tr_event_name(enum tr_event_kind kind)
 {
 	static const char *const words[] = {
--- a/lib/event.h
+++ b/lib/event.h
@@ -1,3 +1,4 @@
+/* The event log of a VM: a ring of its latest events, shown as a time line. */
 #ifndef TR_EVENT_H
 #define TR_EVENT_H
 
@@ -7,7 +8,7 @@
 
 #define TR_EVENT_RING 2048
 
-/* Columns: name, word. */
+/* Columns: enum name, name in the output. */
 #define TR_EVENTS(X)                            \
 	X(START, "start")                       \
 	X(STOP, "stop")                         \
@@ -39,6 +40,7 @@
 #undef TR_EVENT_ENUM
 };
 
+/* One event, with the time of a hybrid logical clock. */
 struct tr_event {
 	struct tr_hlc when;
 	enum tr_event_kind kind;
@@ -47,7 +49,7 @@
 	char detail[96];
 };
 
-/* A ring: the newest TR_EVENT_RING events, and a count of all ever put. */
+/* The newest TR_EVENT_RING events, and the number of events ever appended. */
 struct tr_event_ring {
 	struct tr_hlc clock;
 	uint64_t count;
--- a/lib/gossip.c
+++ b/lib/gossip.c
@@ -1,3 +1,4 @@
+/* Building, scheduling and receiving gossip messages. */
 #include "gossip.h"
 
 #include <string.h>
@@ -25,8 +26,8 @@
 }
 
 /*
- * Rows are those of targets under suspicion, and up to a third of the others
- * from a random one on, which keeps the bytes low.
+ * Adds the rows of suspect targets, and of up to a third of the others from a
+ * random one on, to keep messages short.
  */
 static void add_rows(const struct tr_service *svc, uint32_t start,
 		     struct tr_gossip *msg, apr_time_t now)
@@ -63,7 +64,7 @@
 	}
 }
 
-/* Write what the peer should hear of the service now. */
+/* Builds the message that the peer should get about the service now. */
 void tr_gossip_build(struct tr_board *board, struct tr_service *svc,
 		     struct tr_peer *peer, uint64_t sequence,
 		     struct tr_gossip *msg)
@@ -101,8 +102,8 @@
 	peer->last_sent_at = now;
 }
 
-static void take_rows(struct tr_service *svc, const struct tr_peer *peer,
-		      const struct tr_gossip *msg, apr_time_t now)
+static void receive_rows(struct tr_service *svc, const struct tr_peer *peer,
+			 const struct tr_gossip *msg, apr_time_t now)
 {
 	unsigned source = tr_member_source(svc, peer);
 
@@ -123,8 +124,9 @@
 }
 
 /*
- * Take in a message of a peer. TR_OK; TR_NO_SERVICE when this VM does not
- * serve the service or the sender is not of its cell; TR_STALE_DATAGRAM.
+ * Applies a message of a peer. Returns TR_OK, TR_NO_SERVICE if it is for
+ * another VM, this VM does not serve the service or the sender is not in its
+ * cell, or TR_STALE_DATAGRAM if it is old.
  */
 enum tr_result tr_gossip_receive(struct tr_board *board,
 				 const struct tr_gossip *msg)
@@ -145,7 +147,7 @@
 	if (board->events)
 		tr_hlc_merge(&board->events->clock, msg->hlc,
 			     board->wall(board->wall_ctx));
-	take_rows(svc, peer, msg, now);
+	receive_rows(svc, peer, msg, now);
 	tr_permit_receive_vote(svc, peer, msg->flags & TR_GOSSIP_VOTES_FOR_YOU,
 			       now);
 	tr_permit_receive_orders(board, svc, peer, msg, now);
@@ -153,21 +155,20 @@
 }
 
 /*
- * Is it time to send to the peer? While something is wrong a message goes out
- * twice a second, at once when a target begins to fail, else every
- * TR_GOSSIP_PERIOD_IDLE: detection is quick when it matters and the bytes stay
- * low when it does not. within_budget: with it overdrawn only the calm period
- * holds.
+ * Returns whether it is time to send to the peer. The period is short while
+ * targets are suspect, shortest when one has just begun to fail, and
+ * TR_GOSSIP_PERIOD_IDLE otherwise: faults are detected fast and traffic stays
+ * low without any. within_budget: if false, the idle period applies.
  */
 bool tr_gossip_due(const struct tr_service *svc, const struct tr_peer *peer,
 		   bool within_budget, apr_time_t now)
 {
-	apr_time_t tick = svc->has_suspects ? TR_GOSSIP_PERIOD_ALERT
-					    : TR_GOSSIP_PERIOD_IDLE;
+	apr_time_t period = svc->has_suspects ? TR_GOSSIP_PERIOD_ALERT
+					      : TR_GOSSIP_PERIOD_IDLE;
 
 	if (svc->last_urgent_at > peer->last_sent_at)
-		tick = TR_GOSSIP_PERIOD_URGENT;
+		period = TR_GOSSIP_PERIOD_URGENT;
 	if (!within_budget)
-		tick = TR_GOSSIP_PERIOD_IDLE;
-	return now - peer->last_sent_at >= tick;
+		period = TR_GOSSIP_PERIOD_IDLE;
+	return now - peer->last_sent_at >= period;
 }
--- a/lib/gossip.h
+++ b/lib/gossip.h
@@ -1,16 +1,23 @@
+/*
+ * Messages in which the VMs of a cell exchange, for one service, outcomes at
+ * its targets, votes and orders.
+ */
 #ifndef TR_GOSSIP_H
 #define TR_GOSSIP_H
 
 #include "board.h"
 
+/* Flags of a message. */
 #define TR_GOSSIP_LEAVING	0x01
 #define TR_GOSSIP_SUSPECTS_SELF 0x02
 #define TR_GOSSIP_VOTES_FOR_YOU 0x04
 #define TR_GOSSIP_OWNER		0x08
 #define TR_GOSSIP_CONFIRMED	0x10
 
+/* Most rows, and most orders, in one message. */
 #define TR_GOSSIP_ROWS 32
 
+/* Running totals of the sender's outcomes at one target, see evidence.h. */
 struct tr_gossip_row {
 	uint32_t target;
 	uint32_t well;
@@ -18,6 +25,7 @@
 	uint32_t bad_run;
 };
 
+/* An order of the service's owner for one target, see board.h. */
 struct tr_gossip_order {
 	uint32_t target;
 	uint32_t kind;
@@ -25,11 +33,10 @@
 };
 
 /*
- * What one VM tells another of one service. Counts are running totals, so a
- * message that is lost, doubled or late does no harm. sent_at is of the
- * sender's clock; echo is the newest sent_at that it has of the receiver. A
- * message names its receiver, or one could be replayed to another VM, whose
- * leases its echo would then lengthen.
+ * A message from one VM to another about one service. Counts are running
+ * totals, so that lost, duplicated and late messages do no harm. It names its
+ * receiver: otherwise it could be replayed to another VM, whose leases its echo
+ * would extend.
  */
 struct tr_gossip {
 	char service[TR_NAME_MAX + 1];
@@ -37,8 +44,8 @@
 	uint64_t to;
 	struct tr_boot boot;
 	uint64_t sequence;
-	apr_time_t sent_at;
-	apr_time_t echo;
+	apr_time_t sent_at; /* on the sender's clock */
+	apr_time_t echo; /* newest sent_at the sender has from the receiver */
 	struct tr_hlc hlc;
 	uint32_t flags;
 	uint64_t list_revision;
--- a/lib/result.c
+++ b/lib/result.c
@@ -25,31 +25,31 @@
 	return &rows[0];
 }
 
-/* The code's word as it stands in answers and logs, such as "queue-full". */
+/* Returns the code's name in answers and logs, such as "queue-full". */
 const char *tr_result_name(enum tr_result code)
 {
 	return find_row(code)->word;
 }
 
-/* One sentence that says what the code means. */
+/* Returns one sentence that explains the code. */
 const char *tr_result_text(enum tr_result code)
 {
 	return find_row(code)->text;
 }
 
-/* What the code lets the system say of the request it stands for. */
+/* Returns what the code says of whether the request ran. */
 enum tr_outcome tr_result_outcome(enum tr_result code)
 {
 	return find_row(code)->outcome;
 }
 
-/* The HTTP status under which the system answers with this code. */
+/* Returns the HTTP status of an answer with this code. */
 int tr_result_http_status(enum tr_result code)
 {
 	return find_row(code)->http_status;
 }
 
-/* The outcome's word: "answered", "not-run", "unknown", or "none". */
+/* Returns the outcome's name: "answered", "not-run", "unknown" or "none". */
 const char *tr_outcome_name(enum tr_outcome outcome)
 {
 	switch (outcome) {
--- a/lib/result.h
+++ b/lib/result.h
@@ -2,8 +2,9 @@
 #define TR_RESULT_H
 
 /*
- * Result codes. docs/ERRORS.md holds the same table; tests/result_test.cc
- * compares the two. Columns: name, number, word, outcome, HTTP status, text.
+ * Result codes. docs/ERRORS.md has the same table; tests/result_test.cc
+ * compares the two. Columns: enum name, number, name in the output, outcome,
+ * HTTP status, text.
  */
 #define TR_RESULTS(X)                                                       \
 	X(OK, 0, "ok", NONE, 200, "no error")                               \
@@ -90,12 +91,12 @@
 #undef TR_RESULT_ENUM
 };
 
-/* What the system can truthfully say of a request. */
+/* What is known of whether a request ran. */
 enum tr_outcome {
 	TR_OUTCOME_NONE,
 	TR_OUTCOME_ANSWERED,
-	TR_OUTCOME_NOT_RUN,
-	TR_OUTCOME_UNKNOWN,
+	TR_OUTCOME_NOT_RUN, /* certain: it may be sent again */
+	TR_OUTCOME_UNKNOWN, /* it may have run */
 };
 
 const char *tr_result_name(enum tr_result code);
