--- a/lib/admit.c
+++ b/lib/admit.c
@@ -1,3 +1,7 @@
+/*
+ * Admission control. Requests that cannot be answered before their deadline are
+ * refused at once instead of being queued.
+ */
 #include "admit.h"
 
 #include <stdlib.h>
@@ -7,9 +11,12 @@
 
 #define RATE_PERIOD	TR_MSEC(200)
 #define RATE_WEIGHT_OLD 0.6
-#define LEAST_RATE	1.0
+#define MIN_RATE	1.0
 
-/* Room for capacity waiting requests. 0 or -1. */
+/*
+ * Makes room for capacity waiting requests. Returns 0, or -1 when out of
+ * memory.
+ */
 int tr_queue_init(struct tr_queue *q, uint32_t capacity)
 {
 	memset(q, 0, sizeof(*q));
@@ -77,7 +84,8 @@
 	q->length++;
 }
 
-static uint32_t ahead_of(const struct tr_queue *q, enum tr_priority priority)
+/* Counts the waiting requests of the same or a higher priority. */
+static uint32_t count_ahead(const struct tr_queue *q, enum tr_priority priority)
 {
 	uint32_t ahead = 0;
 
@@ -86,8 +94,11 @@
 	return ahead;
 }
 
-/* The newest waiter of the longest lane of the lowest priority below mine. */
-static uint32_t find_lower(const struct tr_queue *q, enum tr_priority mine)
+/*
+ * Returns the newest waiter in the longest lane of the lowest priority that is
+ * below this one, or TR_NO_WAITER.
+ */
+static uint32_t find_evictable(const struct tr_queue *q, enum tr_priority mine)
 {
 	for (int p = TR_PRIORITIES - 1; p > (int)mine; p--) {
 		const struct tr_lane *longest = &q->lanes[p][0];
@@ -102,25 +113,30 @@
 	return TR_NO_WAITER;
 }
 
-static bool too_late(const struct tr_queue *q, const struct tr_waiter *w,
-		     apr_time_t work, apr_time_t now)
+/*
+ * Returns whether a request that takes work us would miss its deadline, given
+ * the queue ahead.
+ */
+static bool would_be_late(const struct tr_queue *q, const struct tr_waiter *w,
+			  apr_time_t work, apr_time_t now)
 {
-	double rate = q->rate > LEAST_RATE ? q->rate : LEAST_RATE;
-	apr_time_t wait = (apr_time_t)(ahead_of(q, w->priority) / rate * 1e6);
+	double rate = q->rate > MIN_RATE ? q->rate : MIN_RATE;
+	apr_time_t wait =
+		(apr_time_t)(count_ahead(q, w->priority) / rate * 1e6);
 
 	return now + work > w->deadline ||
 	       (q->rate > 0 && now + wait + work > w->deadline);
 }
 
 /*
- * Let a request wait. work is how long its kind usually takes, in us. TR_OK:
+ * Queues a request. work is how long such requests usually take, in us. TR_OK:
  * it waits in *slot, and *evicted, unless NULL, is the owner of a request of
- * lower priority that had to go for it. Else the code says why it can't wait.
+ * lower priority that was removed for it. Any other code says why it was
+ * refused.
  *
- * What goes wrong without the check for lateness: under three times the load,
- * the queue fills with work that nobody waits for any more, every slot is
- * spent on it, and useful answers fall towards none while all targets look
- * busy. Work that can't end in time is refused before it is sent.
+ * Without the check against the deadline, under three times the load the queue
+ * fills with requests whose callers have given up, every slot is spent on them,
+ * and goodput falls towards zero while all targets are busy.
  */
 enum tr_result tr_queue_push(struct tr_queue *q,
 			     const struct tr_waiter *request,
@@ -134,12 +150,12 @@
 	*evicted = NULL;
 	*slot = TR_NO_WAITER;
 	w.lane = (uint32_t)(w.organisation % TR_QUEUE_LANES);
-	if (too_late(q, &w, work, now))
+	if (would_be_late(q, &w, work, now))
 		return TR_WOULD_BE_LATE;
 	if (w.organisation && lane_of(q, &w)->length >= share)
 		return TR_OVER_SHARE;
 	if (q->free_head == TR_NO_WAITER || q->length >= q->capacity) {
-		uint32_t lower = find_lower(q, w.priority);
+		uint32_t lower = find_evictable(q, w.priority);
 
 		if (lower == TR_NO_WAITER)
 			return TR_QUEUE_FULL;
@@ -158,20 +174,23 @@
 	return TR_OK;
 }
 
-/* The request whose turn it is, taken out of the queue; NULL when empty. */
+/*
+ * Removes the next request to serve and returns its owner, or NULL if the queue
+ * is empty.
+ */
 void *tr_queue_pop(struct tr_queue *q, apr_time_t now)
 {
 	for (int p = 0; p < TR_PRIORITIES; p++) {
 		if (!q->by_priority[p])
 			continue;
 		for (uint32_t n = 0; n < TR_QUEUE_LANES; n++) {
-			uint32_t l = (q->turn[p] + n) % TR_QUEUE_LANES;
+			uint32_t l = (q->next_lane[p] + n) % TR_QUEUE_LANES;
 			uint32_t i = q->lanes[p][l].head;
 			void *owner;
 
 			if (i == TR_NO_WAITER)
 				continue;
-			q->turn[p] = l + 1;
+			q->next_lane[p] = l + 1;
 			owner = q->waiters[i].owner;
 			unlink_waiter(q, i);
 			q->served += 1;
@@ -183,8 +202,9 @@
 }
 
 /*
- * Take out one request that can't be done in time any more, or NULL. Work of
- * every priority is looked at; call until NULL.
+ * Removes one request that cannot be answered in time any more and returns its
+ * owner, or NULL if there is none. Looks at the head of every lane; call until
+ * NULL.
  */
 void *tr_queue_pop_late(struct tr_queue *q, apr_time_t work, apr_time_t now)
 {
@@ -204,7 +224,7 @@
 	return NULL;
 }
 
-/* A waiting request was given up. */
+/* Removes a waiting request that was cancelled. */
 void tr_queue_cancel(struct tr_queue *q, uint32_t slot)
 {
 	if (slot < q->capacity && q->waiters[slot].used)
@@ -212,8 +232,9 @@
 }
 
 /*
- * Keep the rate at which waiting requests are served, a second. It is taken
- * only while some wait: the rate of an idle queue says nothing of capacity.
+ * Updates the rate at which waiting requests are served, per second. It is
+ * measured only while some wait: the rate of an idle queue says nothing about
+ * capacity.
  */
 void tr_queue_update_rate(struct tr_queue *q, apr_time_t now)
 {
@@ -229,10 +250,10 @@
 	q->rated_at = now;
 }
 
-/* How long a caller that was refused should stay away, in milliseconds. */
+/* Returns when a refused caller should try again, in milliseconds. */
 uint32_t tr_queue_retry_after_ms(const struct tr_queue *q)
 {
-	double rate = q->rate > LEAST_RATE ? q->rate : LEAST_RATE;
+	double rate = q->rate > MIN_RATE ? q->rate : MIN_RATE;
 	double ms = (q->length + 1) / rate * 1000;
 
 	if (ms < 50)
--- a/lib/admit.h
+++ b/lib/admit.h
@@ -1,3 +1,7 @@
+/*
+ * Admission control: a bounded queue of requests that wait for a slot at a
+ * target.
+ */
 #ifndef TR_ADMIT_H
 #define TR_ADMIT_H
 
@@ -10,11 +14,12 @@
 
 #define TR_QUEUE_MAX   4096
 #define TR_QUEUE_LANES 32
-#define TR_NO_WAITER   UINT32_MAX
+/* Index that stands for no waiting request. */
+#define TR_NO_WAITER UINT32_MAX
 
-/* A request that waits for a slot. owner is the adapter's. */
+/* A request that waits for a slot. */
 struct tr_waiter {
-	void *owner;
+	void *owner; /* opaque to the queue */
 	apr_time_t deadline;
 	uint64_t organisation;
 	enum tr_priority priority;
@@ -24,6 +29,7 @@
 	bool used;
 };
 
+/* A FIFO queue of the waiting requests of some organisations. */
 struct tr_lane {
 	uint32_t head;
 	uint32_t tail;
@@ -31,8 +37,9 @@
 };
 
 /*
- * A short queue by priority; within one, lanes by organisation are served in
- * turn, so that a busy organisation waits behind itself.
+ * A queue by priority. Within a priority, organisations are hashed to lanes,
+ * which are served round-robin, so that a busy organisation delays mostly
+ * itself.
  */
 struct tr_queue {
 	struct tr_waiter *waiters;
@@ -41,9 +48,9 @@
 	uint32_t free_head;
 	uint32_t by_priority[TR_PRIORITIES];
 	struct tr_lane lanes[TR_PRIORITIES][TR_QUEUE_LANES];
-	uint32_t turn[TR_PRIORITIES];
-	double rate;
-	double served;
+	uint32_t next_lane[TR_PRIORITIES]; /* the one to serve next */
+	double rate;   /* waiting requests served a second, smoothed */
+	double served; /* since rated_at */
 	apr_time_t rated_at;
 };
 
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -1,9 +1,10 @@
 /*
- * Which entry VMs there are, with no list of them: every VM speaks to every
- * other of its group at a period that grows with the group, so what a VM
- * receives stays level. A VM that is silent is believed gone; one that speaks
- * is up, so there is no suspicion to refute. Of other groups' VMs it believes
- * what these say of themselves, in summaries some times a second.
+ * Membership of the fleet of entry VMs, without any list of them. Every VM
+ * sends to every other of its group at a period that grows with the group, so
+ * the rate at which a VM receives messages stays constant. A silent VM counts
+ * as down and one that sends as up; there is no suspicion that it would have to
+ * refute. The state of the VMs of other groups comes from their own summaries,
+ * several times a second.
  */
 #include "membership.h"
 
@@ -16,55 +17,77 @@
 #include "mechanism.h"
 
 /* Shortest time between two routine messages to one VM. */
-#define PERIOD_LEAST TR_MSEC(500)
-/* Added to the period a VM, so that at most some 66 routine messages a second
- * arrive, about 0.1% of a core. */
-#define PERIOD_A_VM TR_MSEC(15)
-/* Routine messages that may be missing before a VM is no longer named to
- * callers, and before it counts as down. One datagram in fifty is lost on a
- * bad link: two in a row are rare, four are not seen. */
+#define PERIOD_MIN TR_MSEC(500)
+/*
+ * Added to the period for each VM of the group, so that about 66 routine
+ * messages a second arrive at a VM, which takes about 0.1% of a core.
+ */
+#define PERIOD_PER_VM TR_MSEC(15)
+/*
+ * Routine messages that may be missing before a VM is no longer named to
+ * callers, and before it counts as down. On a bad link one datagram in fifty is
+ * lost: two in a row are rare, four do not occur.
+ */
 #define MISSED_NAMED 2
 #define MISSED_DOWN  4
 #define SLACK	     TR_MSEC(200)
-/* How many of its usual gaps a VM may be silent while it counts as heard
- * lately, and for how long at least: a busy VM's turn. The gap is the mean over
- * so many messages. */
-#define LATELY_GAPS  4
-#define LATELY_LEAST TR_MSEC(200)
-#define GAP_WEIGHT   8
-/* How long a VM of another group counts as there, and is named to callers,
- * after a summary that named it: four and eight summaries' time. */
+/*
+ * For how many of its mean gaps between messages a VM may be silent while it
+ * counts as recently heard, but at least RECENT_MIN, the time that a busy VM
+ * may take for one loop. GAP_WEIGHT: the gap is averaged over about so many
+ * messages.
+ */
+#define RECENT_GAPS 4
+#define RECENT_MIN  TR_MSEC(200)
+#define GAP_WEIGHT  8
+/*
+ * How long a VM of another group is named to callers, and counts as up, after
+ * the last summary that listed it: the time of four and of eight summaries.
+ */
 #define AWAY_NAMED TR_MSEC(1000)
 #define AWAY_DOWN  TR_MSEC(2000)
-/* Time between two calls to one lost address. Survivors go on calling: a VM
- * that restarts with dead seeds is found only so. */
-#define CALL_LOST TR_SEC(1)
-/* The same while this VM has heard nobody: after the loss of all VMs the seeds
- * may start half a second later than it does. */
-#define CALL_FIRST TR_MSEC(100)
-/* A VM whose first message heard was one of its first so many, some seconds of
- * its life, and how long a VM tells its totals in turn: from either on, what it
- * tells of a target for the first time is new. */
-#define FIRST_MESSAGES 50
-#define TOLD_ALL_AFTER TR_SEC(5)
-/* A larger size of the fleet is nonsense: 18 times the plan's. */
-#define FLEET_MOST 100000
-/* VMs that watch the platform, in different data centres where there are
- * several: with two, news flows on while one is frozen or cut off. */
+/*
+ * Time between two probes of a lost VM's address. Surviving VMs never stop:
+ * otherwise a VM that restarts when all of its seeds are down would not be
+ * found.
+ */
+#define PROBE_LOST_INTERVAL TR_SEC(1)
+/*
+ * The same while this VM has heard from none: after the loss of all VMs, the
+ * seeds may start half a second later than it does.
+ */
+#define PROBE_FIRST_INTERVAL TR_MSEC(100)
+/*
+ * A VM sends its totals for all targets in turn. The first totals that it sends
+ * for a target count as new if this VM has received from it since one of its
+ * first FIRST_MESSAGES messages, some seconds after its start, or for
+ * ALL_TOTALS_SENT_AFTER.
+ */
+#define FIRST_MESSAGES	      50
+#define ALL_TOTALS_SENT_AFTER TR_SEC(5)
+/*
+ * A larger fleet size in a message is taken as an error: 18 times the planned
+ * size.
+ */
+#define FLEET_SIZE_MAX 100000
+/*
+ * VMs that watch the platform, in different data centres if there are several:
+ * with two, updates still arrive while one is frozen or cut off.
+ */
 #define READERS 2
 
-static struct tr_node *new_node(struct tr_membership *m, uint32_t ip)
+static struct tr_node *add_node(struct tr_membership *m, uint32_t ip)
 {
 	struct tr_node *grown;
 
-	if (m->count == m->room) {
-		unsigned room = m->room ? m->room * 2 : 16;
+	if (m->count == m->capacity) {
+		unsigned capacity = m->capacity ? m->capacity * 2 : 16;
 
-		grown = realloc(m->nodes, room * sizeof(*grown));
+		grown = realloc(m->nodes, capacity * sizeof(*grown));
 		if (!grown)
 			abort();
 		m->nodes = grown;
-		m->room = room;
+		m->capacity = capacity;
 	}
 	grown = &m->nodes[m->count++];
 	memset(grown, 0, sizeof(*grown));
@@ -73,14 +96,14 @@
 	return grown;
 }
 
-/* Begin with this VM alone. 0 or -1. */
+/* Starts with this VM as the only member. Returns 0. */
 int tr_membership_init(struct tr_membership *m, uint32_t ip, uint64_t boot,
 		       const char *data_centre)
 {
 	struct tr_node *me;
 
 	memset(m, 0, sizeof(*m));
-	me = new_node(m, ip);
+	me = add_node(m, ip);
 	me->boot = boot;
 	strncpy(me->data_centre, data_centre, TR_ID_MAX);
 	tr_groups_rebuild(m);
@@ -101,7 +124,10 @@
 	memset(m, 0, sizeof(*m));
 }
 
-/* The VM of the address, which may not have been heard yet. */
+/*
+ * Returns the VM with that address, adding it if needed; it may not have been
+ * heard from yet.
+ */
 struct tr_node *tr_membership_find_or_add(struct tr_membership *m, uint32_t ip)
 {
 	uint32_t at;
@@ -109,13 +135,13 @@
 
 	if (i != TR_NO_ROW)
 		return &m->nodes[i];
-	new_node(m, ip);
+	add_node(m, ip);
 	tr_groups_add_node(m, &m->nodes[m->count - 1]);
 	return &m->nodes[m->count - 1];
 }
 
-static void set_centre(struct tr_membership *m, struct tr_node *node,
-		       const char *data_centre)
+static void set_data_centre(struct tr_membership *m, struct tr_node *node,
+			    const char *data_centre)
 {
 	if (!*data_centre || !strcmp(node->data_centre, data_centre))
 		return;
@@ -123,7 +149,7 @@
 	tr_groups_add_node(m, node);
 }
 
-/* The same, where it is told in which data centre the VM is. */
+/* The same, and sets the VM's data centre. */
 struct tr_node *tr_membership_find_or_add_at(struct tr_membership *m,
 					     uint32_t ip,
 					     const char *data_centre)
@@ -131,19 +157,22 @@
 	struct tr_node *node = tr_membership_find_or_add(m, ip);
 
 	if (node != m->nodes)
-		set_centre(m, node, data_centre);
+		set_data_centre(m, node, data_centre);
 	return node;
 }
 
-/* How many VMs the fleet has, as far as this VM or any that it heard knows. */
+/*
+ * Returns the size of the fleet as far as this VM or any VM that it heard from
+ * knows.
+ */
 unsigned tr_membership_size(const struct tr_membership *m)
 {
 	return m->size_reported > m->count ? m->size_reported : m->count;
 }
 
-static void set_size(struct tr_membership *m, unsigned reported)
+static void update_size(struct tr_membership *m, unsigned reported)
 {
-	if (reported <= tr_membership_size(m) || reported > FLEET_MOST)
+	if (reported <= tr_membership_size(m) || reported > FLEET_SIZE_MAX)
 		return;
 	m->size_reported = reported;
 	tr_groups_rebuild(m);
@@ -158,8 +187,9 @@
 }
 
 /*
- * A message came. NULL when it is of an earlier start, or older than one that
- * came before. restarted: what was told before is void.
+ * Applies the state in a VM's message and returns the VM, or NULL if the
+ * message is from an earlier process or older than one already received.
+ * *restarted: it is the first of a new process, so earlier reports are void.
  */
 struct tr_node *tr_membership_receive(struct tr_membership *m,
 				      const struct tr_node_status *news,
@@ -189,16 +219,16 @@
 	if (!*restarted && node->heard_at)
 		node->gap += (now - node->heard_at - node->gap) / GAP_WEIGHT;
 	else
-		node->gap = PERIOD_LEAST;
+		node->gap = PERIOD_MIN;
 	node->heard_at = now;
 	node->proven_at = news->proof_age < 0 ? 0 : now - news->proof_age;
 	m->heard_any = true;
-	set_centre(m, node, news->data_centre);
-	set_size(m, news->fleet_size);
+	set_data_centre(m, node, news->data_centre);
+	update_size(m, news->fleet_size);
 	return node;
 }
 
-/* A VM of another group is there and like that, as its own group says. */
+/* Applies the state of a VM of another group from that group's summary. */
 void tr_membership_receive_indirect(struct tr_membership *m,
 				    const struct tr_node_status *news,
 				    apr_time_t now)
@@ -215,8 +245,8 @@
 }
 
 /*
- * What the VM told last of the target, made empty where it told nothing yet.
- * Kept in the order of the targets' names.
+ * Returns the VM's last report about the target, adding an empty one if there
+ * is none. Reports are sorted by target.
  */
 struct tr_report *tr_node_report(struct tr_node *node, uint32_t target)
 {
@@ -250,8 +280,10 @@
 	return &node->reported[low];
 }
 
-/* What the VM told last of the target with a limit, made empty where it told
- * nothing yet. */
+/*
+ * Returns the VM's last report about a rate-limited target, adding an empty one
+ * if there is none.
+ */
 struct tr_sent_report *tr_node_sent_report(struct tr_node *node,
 					   uint32_t target)
 {
@@ -270,8 +302,8 @@
 }
 
 /*
- * What the VM told last of the organisation, made empty where it told nothing
- * yet. Kept in the order of the organisations' names.
+ * Returns the VM's last report about the organisation, adding an empty one if
+ * there is none. Reports are sorted by organisation.
  */
 struct tr_limit_report *tr_node_limit_report(struct tr_node *node,
 					     uint32_t name)
@@ -314,16 +346,20 @@
 	return node->heard_at && now - node->heard_at <= span;
 }
 
-/* The time between two routine messages to one VM of the group, all being of
- * one mind about its size, more or less. */
+/*
+ * Returns the time between two routine messages to one VM of the group. All VMs
+ * of the group have nearly the same value, since they know about the same
+ * members.
+ */
 apr_time_t tr_membership_period(const struct tr_membership *m, apr_time_t now)
 {
-	apr_time_t period = (apr_time_t)m->near_count * PERIOD_A_VM;
+	apr_time_t period = (apr_time_t)m->near_count * PERIOD_PER_VM;
 
 	(void)now;
-	return period > PERIOD_LEAST ? period : PERIOD_LEAST;
+	return period > PERIOD_MIN ? period : PERIOD_MIN;
 }
 
+/* Returns whether the VM counts as up. */
 bool tr_node_alive(const struct tr_membership *m, const struct tr_node *node,
 		   apr_time_t now)
 {
@@ -333,19 +369,19 @@
 }
 
 /*
- * Has the VM been heard since it started, so that the first totals it tells of
- * a target are news? Without this the first outcome that each VM sees at each
- * target was lost: after a restart of all VMs, when each sees three requests a
- * second, that is nearly all there is, and a target that hung got ten to twelve
- * requests in four seconds.
+ * Returns whether this VM has received from the other since about its start, so
+ * that the first totals that it reports for a target are new. Otherwise the
+ * first outcome of every VM at every target would be lost: after a restart of
+ * all VMs, with three requests a second each, that is nearly all there is, and
+ * a target that hung got ten to twelve requests in four seconds.
  */
 bool tr_node_heard_from_start(const struct tr_node *node, apr_time_t now)
 {
 	return node->first_sequence <= FIRST_MESSAGES ||
-	       now - node->boot_heard_at >= TOLD_ALL_AFTER;
+	       now - node->boot_heard_at >= ALL_TOTALS_SENT_AFTER;
 }
 
-/* May callers be sent to the VM? */
+/* Returns whether callers may be sent to the VM. */
 bool tr_node_takes_callers(const struct tr_membership *m,
 			   const struct tr_node *node, apr_time_t now)
 {
@@ -355,8 +391,10 @@
 	       heard_within(m, node, node->near ? span : AWAY_NAMED, now);
 }
 
-/* This VM's place, by address, among those of its group that take callers; vms:
- * how many these are, this one included. */
+/*
+ * Returns this VM's rank, by address, among the VMs of its group that take
+ * callers; *vms is set to their number, this VM included.
+ */
 unsigned tr_membership_rank(const struct tr_membership *m, apr_time_t now,
 			    unsigned *vms)
 {
@@ -375,13 +413,14 @@
 }
 
 /*
- * A VM of the group that is not heard and is due to be called again, or NULL.
- * One whose data centre is not known yet may be of the group; those of others
- * are called by their own groups, and by summaries while these are silent.
+ * Returns a VM of the group that is down and is due to be probed, or NULL. A VM
+ * whose data centre is not known yet may be of the group; VMs of other groups
+ * are probed by those, and through summaries while a whole group is silent.
  */
 struct tr_node *tr_membership_next_lost(struct tr_membership *m, apr_time_t now)
 {
-	apr_time_t gap = m->heard_any ? CALL_LOST : CALL_FIRST;
+	apr_time_t gap =
+		m->heard_any ? PROBE_LOST_INTERVAL : PROBE_FIRST_INTERVAL;
 
 	for (unsigned i = 1; i < m->count; i++) {
 		struct tr_node *node = &m->nodes[i];
@@ -395,6 +434,7 @@
 	return NULL;
 }
 
+/* Returns how many VMs are up, this one included. */
 unsigned tr_membership_alive(const struct tr_membership *m, apr_time_t now)
 {
 	unsigned n = 0;
@@ -404,74 +444,78 @@
 	return n;
 }
 
-/* How long a VM of the group may be silent until it is not heard lately: some
- * of its usual gaps, of which one message in forty is lost on a bad link, and
- * no more than a routine message takes. */
-static apr_time_t silence(const struct tr_membership *m,
-			  const struct tr_node *node, apr_time_t now)
+/*
+ * Returns how long a VM of the group may be silent and still count as recently
+ * heard: a few of its mean gaps, since on a bad link one message in forty is
+ * lost, and no longer than a routine message takes.
+ */
+static apr_time_t max_silence(const struct tr_membership *m,
+			      const struct tr_node *node, apr_time_t now)
 {
 	apr_time_t most = tr_membership_period(m, now) + SLACK;
-	apr_time_t span = LATELY_GAPS * node->gap;
+	apr_time_t span = RECENT_GAPS * node->gap;
 
-	if (span < LATELY_LEAST)
-		span = LATELY_LEAST;
+	if (span < RECENT_MIN)
+		span = RECENT_MIN;
 	return span < most ? span : most;
 }
 
-/* Is the VM not silent for much longer than usual? */
+/* Returns whether the VM has not been silent for much longer than usual. */
 bool tr_node_heard_recently(const struct tr_membership *m,
 			    const struct tr_node *node, apr_time_t now)
 {
 	if (!node->near)
 		return tr_node_alive(m, node, now);
-	return heard_within(m, node, silence(m, node, now), now);
+	return heard_within(m, node, max_silence(m, node, now), now);
 }
 
 /*
- * The part of the fleet that was heard a moment ago: of this group, those that
- * are not silent for much longer than usual; of the others, those that are
- * there. What the whole fleet must not overrun can't wait until silence counts
- * as a loss: a half of the VMs that is cut off in a flood lets through 1.23 of
- * what operators allow in that time (the load test of limits). Nor for a
- * routine message: with that one of seven played days with a cut of a third of
- * the VMs in a flood had 1.012 of it.
+ * Returns the share of the fleet that was heard from a moment ago, from 0 to 1:
+ * in this group, VMs that are not silent for much longer than usual; in other
+ * groups, VMs that are up. Limits for the whole fleet cannot wait until a
+ * silent VM counts as down: in the load test of limits, half of the VMs, cut
+ * off during a flood, let through 1.23 times what operators allow by then. Nor
+ * can they wait for a routine message: with that, one of seven simulated days
+ * with a third of the VMs cut off during a flood reached 1.012 times.
  */
 double tr_membership_recent_share(const struct tr_membership *m, apr_time_t now)
 {
-	unsigned lately = 0;
-	unsigned elsewhere = 0;
+	unsigned recent = 0;
+	unsigned other_groups = 0;
 
 	for (unsigned i = 0; i < m->count; i++) {
 		const struct tr_node *node = &m->nodes[i];
 
-		lately += node->near && tr_node_heard_recently(m, node, now);
-		elsewhere +=
+		recent += node->near && tr_node_heard_recently(m, node, now);
+		other_groups +=
 			!node->near && tr_node_heard_recently(m, node, now);
 	}
-	return (double)lately / m->near_count * (m->near_count + elsewhere) /
+	return (double)recent / m->near_count * (m->near_count + other_groups) /
 	       tr_membership_size(m);
 }
 
-static bool could_read(const struct tr_membership *m,
-		       const struct tr_node *node, apr_time_t now)
+/* Returns whether the VM can read from the platform. */
+static bool can_read(const struct tr_membership *m, const struct tr_node *node,
+		     apr_time_t now)
 {
 	return !node->leaving && !node->cannot_read &&
 	       tr_node_alive(m, node, now);
 }
 
+/* The hash that orders VMs when some of them are chosen. */
 static uint64_t score(const struct tr_node *node)
 {
 	return tr_hash(&node->ip, sizeof(node->ip));
 }
 
 /*
- * How many VMs come before this one when the list has grown old and somebody
- * must read. Those that are silent for longer than usual don't count, nor those
- * that have just started and have no list: until they are held to be lost, or
- * have one, the list would grow older than operators allow. Those that could
- * not read count too: else, while the store is away, each that fails makes room
- * for the next, and all of a large fleet call it; 442 VMs made 4,062 calls on a
- * day with one such time.
+ * Returns how many VMs come before this one when the list has grown old and
+ * some VM must read it. VMs that are silent for longer than usual do not count,
+ * nor do those that have just started and have no list: until they count as
+ * down, or have one, the list would grow older than operators allow. VMs that
+ * failed to read do count: otherwise, while the store is down, each failure
+ * makes the next VM read, until all VMs of a large fleet call the store; 442
+ * VMs made 4,062 calls in one day with such an outage.
  */
 unsigned tr_membership_read_rank(const struct tr_membership *m, apr_time_t now)
 {
@@ -485,40 +529,50 @@
 	return before;
 }
 
-static const struct tr_node *best(const struct tr_membership *m,
-				  const struct tr_node *const *taken,
-				  unsigned n, bool elsewhere, apr_time_t now)
+/*
+ * Returns the VM with the highest score among those that can read and are not
+ * chosen yet, optionally in a data centre that has none chosen; NULL if there
+ * is none.
+ */
+static const struct tr_node *best_reader(const struct tr_membership *m,
+					 const struct tr_node *const *chosen,
+					 unsigned n, bool other_data_centre,
+					 apr_time_t now)
 {
 	const struct tr_node *found = NULL;
 
 	for (unsigned i = 0; i < m->count; i++) {
 		const struct tr_node *node = &m->nodes[i];
-		bool skip = !could_read(m, node, now);
+		bool skip = !can_read(m, node, now);
 
 		for (unsigned k = 0; k < n; k++)
-			skip |= node == taken[k] ||
-				(elsewhere && !strcmp(node->data_centre,
-						      taken[k]->data_centre));
+			skip |= node == chosen[k] ||
+				(other_data_centre &&
+				 !strcmp(node->data_centre,
+					 chosen[k]->data_centre));
 		if (!skip && (!found || score(node) > score(found)))
 			found = node;
 	}
 	return found;
 }
 
-/* Is this VM one of those that watch the platform for all? */
+/*
+ * Returns whether this VM is one of those that watch the platform for the
+ * fleet.
+ */
 bool tr_membership_is_reader(const struct tr_membership *m, apr_time_t now)
 {
-	const struct tr_node *taken[READERS];
+	const struct tr_node *chosen[READERS];
 
 	unsigned readers = tr_mechanism_on(TR_MECH_TWO_READERS) ? READERS : 1;
 
 	for (unsigned n = 0; n < readers; n++) {
-		taken[n] = best(m, taken, n, true, now);
-		if (!taken[n])
-			taken[n] = best(m, taken, n, false, now);
-		if (!taken[n])
+		chosen[n] = best_reader(m, chosen, n, true, now);
+		if (!chosen[n])
+			chosen[n] = best_reader(m, chosen, n, false, now);
+		if (!chosen[n])
 			return false;
-		if (taken[n] == m->nodes)
+		if (chosen[n] == m->nodes)
 			return true;
 	}
 	return false;
--- a/lib/membership.h
+++ b/lib/membership.h
@@ -1,3 +1,7 @@
+/*
+ * Membership of the fleet of entry VMs, learned from their messages, and what
+ * each VM last reported.
+ */
 #ifndef TR_MEMBERSHIP_H
 #define TR_MEMBERSHIP_H
 
@@ -15,29 +19,32 @@
 #define TR_SEEDS_MAX	 8
 #define TR_NO_GROUP	 UINT16_MAX
 
-/* What a VM may hold that others fetch from it. */
+/* Data that a VM may hold and that others fetch from it. */
 enum tr_resource {
 	TR_RESOURCE_ROUTES,
 	TR_RESOURCE_LIST,
 	TR_RESOURCES,
 };
 
-/* What a VM last told of one target: its outcomes and what it has there. */
+/* What a VM last reported about one target: outcomes and requests in flight. */
 struct tr_report {
 	uint32_t target;
 	struct tr_symptom_totals totals;
 	uint16_t in_flight;
 };
 
-/* How many requests a VM last told that it had sent to a target with a limit.
+/*
+ * How many requests a VM last reported to have sent to a rate-limited target.
  */
 struct tr_sent_report {
 	uint32_t target;
 	uint16_t sent;
 };
 
-/* What a VM last told of the requests for one service, and when; purse: the
- * repeats that it may have saved up since. */
+/*
+ * What a VM last reported about the requests for one service, and when. purse:
+ * the repeats that it may have saved up since.
+ */
 struct tr_work_report {
 	uint32_t service;
 	struct tr_work_totals totals;
@@ -45,25 +52,19 @@
 	apr_time_t at;
 };
 
-/* What a VM last told of the requests of one organisation. */
+/* What a VM last reported about the requests of one organisation. */
 struct tr_limit_report {
 	uint32_t name;
 	struct tr_limit_totals totals;
 };
 
-/*
- * An entry VM, by its address. boot is drawn anew at each start. near: it is of
- * this VM's group. here: of its data centre. held: the revision of the routes
- * that it has in force, and 1 where it has a list of targets. gap: the usual
- * time between two of its messages. proven_at: until when its configuration is
- * proven, as it said in passing. reports_work: it may have requests in flight.
- */
+/* An entry VM, identified by its address. */
 struct tr_node {
 	uint32_t ip;
 	uint16_t group;
-	bool near;
-	bool here;
-	uint64_t boot;
+	bool near;     /* in this VM's group */
+	bool here;     /* in this VM's data centre */
+	uint64_t boot; /* random, new at every start */
 	uint64_t retired[TR_RETIRED_BOOTS];
 	unsigned retired_next;
 	uint64_t sequence;
@@ -71,15 +72,16 @@
 	apr_time_t boot_heard_at;
 	char data_centre[TR_ID_MAX + 1];
 	apr_time_t heard_at;
-	apr_time_t gap;
+	apr_time_t gap; /* mean time between two of its messages */
 	apr_time_t called_at;
 	bool seed;
 	bool ready;
 	bool leaving;
-	bool cannot_read;
+	bool cannot_read; /* its last read of the store failed */
+	/* Revision of the routes in force; 1 if it has a list of targets. */
 	uint64_t held[TR_RESOURCES];
-	apr_time_t proven_at;
-	bool reports_work;
+	apr_time_t proven_at; /* its configuration was current then */
+	bool reports_work;    /* it may have requests in flight */
 	struct tr_report *reported;
 	unsigned reported_count;
 	unsigned reported_capacity;
@@ -92,8 +94,10 @@
 	unsigned sent_count;
 };
 
-/* What one message says of its sender; requests and targets come apart. A
- * proof_age below 0: there is no proof. */
+/*
+ * The state of the sender in one message; reports about requests and targets
+ * are passed separately.
+ */
 struct tr_node_status {
 	uint32_t ip;
 	uint64_t boot;
@@ -104,10 +108,13 @@
 	bool cannot_read;
 	uint64_t held[TR_RESOURCES];
 	unsigned fleet_size;
-	apr_time_t proof_age;
+	apr_time_t proof_age; /* below 0: no proof */
 };
 
-/* VMs of one data centre that tell each other all they see; see group.c. */
+/*
+ * VMs of one data centre that report everything they see to each other; see
+ * group.c.
+ */
 struct tr_group {
 	char data_centre[TR_ID_MAX + 1];
 	unsigned part;
@@ -117,22 +124,18 @@
 	unsigned alive_before;
 };
 
-/*
- * All VMs ever heard of; row 0 is this one. size_reported is the largest size
- * of the fleet that any VM told. generation changes with the groups and with
- * which of them have VMs that live.
- */
+/* Every VM ever heard of; row 0 is this one. */
 struct tr_membership {
 	struct tr_node *nodes;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
 	struct tr_index by_ip;
 	struct tr_group *groups;
 	unsigned groups_count;
 	unsigned near_count;
-	unsigned size_reported;
+	unsigned size_reported; /* largest fleet size that any VM reported */
 	bool heard_any;
-	uint32_t generation;
+	uint32_t generation; /* changes with the groups and which are alive */
 	apr_time_t alive_counted_at;
 };
 
