--- a/lib/fleet.c
+++ b/lib/fleet.c
@@ -1,10 +1,11 @@
+/* Choice of a service's cell by rendezvous hashing. */
 #include "fleet.h"
 
 #include <string.h>
 
 #include "hash.h"
 
-/* The VM with that id, or NULL. */
+/* Returns the VM with that id, or NULL. */
 const struct tr_vm *tr_fleet_find(const struct tr_fleet *fleet, uint64_t id)
 {
 	for (size_t i = 0; i < fleet->count; i++)
@@ -13,12 +14,16 @@
 	return NULL;
 }
 
+/* A VM and its score. */
 struct candidate {
 	uint64_t score;
 	uint32_t index;
 };
 
-/* Insert into a list sorted by falling score, of at most most entries. */
+/*
+ * Inserts into a list sorted by falling score, which keeps at most most
+ * entries. Returns the new length.
+ */
 static size_t insert_best(struct candidate *best, size_t count, size_t most,
 			  struct candidate c)
 {
@@ -35,9 +40,9 @@
 	return count;
 }
 
-static size_t best_of_centre(struct candidate *best, size_t most,
-			     const struct tr_fleet *fleet, const char *centre,
-			     uint64_t service)
+static size_t best_in_data_centre(struct candidate *best, size_t most,
+				  const struct tr_fleet *fleet,
+				  const char *centre, uint64_t service)
 {
 	size_t count = 0;
 
@@ -53,9 +58,10 @@
 }
 
 /*
- * Choose the VMs that serve a service: the document's cell size spread evenly
- * over its data centres, by rendezvous hashing, so that a VM that comes or
- * goes moves only its own places. Leaving VMs are never chosen.
+ * Chooses the VMs that serve a service: as many as the document's cell size
+ * says, spread evenly over its data centres, by rendezvous hashing, so that a
+ * VM that joins or leaves moves only its own places. Leaving VMs are never
+ * chosen.
  */
 void tr_cell_choose(struct tr_cell *cell, const struct tr_fleet *fleet,
 		    const struct tr_document *doc)
@@ -68,13 +74,13 @@
 		struct candidate best[TR_MAX_CELL];
 		size_t share = doc->cell / doc->data_centres_count +
 			       (d < doc->cell % doc->data_centres_count);
-		size_t got;
+		size_t found;
 
 		if (share > TR_MAX_CELL)
 			share = TR_MAX_CELL;
-		got = best_of_centre(best, share, fleet, doc->data_centres[d],
-				     service);
-		for (size_t i = 0; i < got; i++)
+		found = best_in_data_centre(best, share, fleet,
+					    doc->data_centres[d], service);
+		for (size_t i = 0; i < found; i++)
 			count = insert_best(all, count, TR_MAX_CELL, best[i]);
 	}
 	cell->count = count;
@@ -82,6 +88,7 @@
 		cell->members[i] = all[i].index;
 }
 
+/* Returns whether the VM is in the cell. */
 bool tr_cell_has(const struct tr_cell *cell, const struct tr_fleet *fleet,
 		 uint64_t vm_id)
 {
@@ -92,9 +99,9 @@
 }
 
 /*
- * Order the cell for one caller: VMs of its data centre first, then by a
- * score salted with the caller, so that callers spread. Writes at most most
- * indexes into out and returns how many.
+ * Orders the cell for one caller: VMs of its data centre first, then by a score
+ * salted with the caller, so that callers are spread. Writes up to most indexes
+ * into out and returns their number.
  */
 size_t tr_cell_lookup(const struct tr_cell *cell, const struct tr_fleet *fleet,
 		      const char *data_centre, uint64_t salt, uint32_t *out,
--- a/lib/fleet.h
+++ b/lib/fleet.h
@@ -1,3 +1,4 @@
+/* The published list of VMs, and the cells: the VMs that serve each service. */
 #ifndef TR_FLEET_H
 #define TR_FLEET_H
 
@@ -7,27 +8,30 @@
 
 #include "document.h"
 
-/* One VM of the published list. Ports are of the same address. */
+/* One VM of the published list. */
 struct tr_vm {
 	uint64_t id;
 	char name[TR_NAME_MAX + 1];
 	char data_centre[TR_NAME_MAX + 1];
-	char address[46];
-	char peer_address[46];
+	char address[46];      /* for port and operator_port */
+	char peer_address[46]; /* for peer_port */
 	uint16_t port;
 	uint16_t peer_port;
 	uint16_t operator_port;
 	bool leaving;
 };
 
-/* The published list of VMs, as read at one revision. */
+/* The published list of VMs at one revision. */
 struct tr_fleet {
 	uint64_t revision;
 	size_t count;
 	struct tr_vm *vms;
 };
 
-/* The VMs that serve one service, best rendezvous score first. */
+/*
+ * The VMs that serve one service, as indexes into the fleet, by falling
+ * rendezvous score.
+ */
 struct tr_cell {
 	size_t count;
 	uint32_t members[TR_MAX_CELL];
--- a/lib/hash.h
+++ b/lib/hash.h
@@ -1,3 +1,4 @@
+/* Hashes that are equal on all VMs, and a pseudo-random number generator. */
 #ifndef TR_HASH_H
 #define TR_HASH_H
 
@@ -8,7 +9,10 @@
 uint64_t tr_hash_string(const char *s);
 uint64_t tr_hash_pair(uint64_t a, uint64_t b);
 
-/* A small generator for choices that need no secrecy; seeded by the owner. */
+/*
+ * State of a generator that is not cryptographically secure; the owner seeds
+ * it.
+ */
 struct tr_random {
 	uint64_t state;
 };
--- a/lib/hlc.c
+++ b/lib/hlc.c
@@ -1,6 +1,6 @@
 #include "hlc.h"
 
-/* Advance the clock for an event of this process. */
+/* Advances the clock for a local event and returns its time. */
 struct tr_hlc tr_hlc_tick(struct tr_hlc *clock, uint64_t wall)
 {
 	if (wall > clock->wall) {
@@ -12,7 +12,7 @@
 	return *clock;
 }
 
-/* Advance the clock past one that came with a message. */
+/* Advances the clock past the time in a message and returns its time. */
 struct tr_hlc tr_hlc_merge(struct tr_hlc *clock, struct tr_hlc heard,
 			   uint64_t wall)
 {
@@ -21,7 +21,10 @@
 	return tr_hlc_tick(clock, wall);
 }
 
-/* Negative, zero or positive as a is before, at or after b. */
+/*
+ * Returns a negative number, 0 or a positive number if a is before, equal to or
+ * after b.
+ */
 int tr_hlc_compare(struct tr_hlc a, struct tr_hlc b)
 {
 	if (a.wall != b.wall)
--- a/lib/hlc.h
+++ b/lib/hlc.h
@@ -5,7 +5,7 @@
 
 /*
  * Hybrid logical clock (Kulkarni et al. 2014): wall time in microseconds that
- * never falls behind what has been heard, and a counter for ties.
+ * never falls behind a time that was received, and a counter for equal times.
  */
 struct tr_hlc {
 	uint64_t wall;
--- a/lib/key.c
+++ b/lib/key.c
@@ -1,11 +1,13 @@
+/* Encoding and authentication of keys. */
 #include "key.h"
 
 #include <sodium.h>
 #include <string.h>
 
-#define KEY_BODY 42
-#define KEY_SIZE (KEY_BODY + TR_MAC_SIZE)
+#define KEY_BODY_SIZE 42
+#define KEY_SIZE      (KEY_BODY_SIZE + TR_MAC_SIZE)
 
+/* Writes an integer in network byte order and returns the next position. */
 static unsigned char *put(unsigned char *at, uint64_t value, size_t bytes)
 {
 	while (bytes--)
@@ -13,6 +15,7 @@
 	return at;
 }
 
+/* Reads an integer in network byte order and advances *at. */
 static uint64_t get(const unsigned char **at, size_t bytes)
 {
 	uint64_t value = 0;
@@ -22,38 +25,38 @@
 	return value;
 }
 
-static void mac_with(const unsigned char *secret, const void *data, size_t len,
-		     unsigned char mac[TR_MAC_SIZE])
+static void compute_mac(const unsigned char *secret, const void *data,
+			size_t len, unsigned char mac[TR_MAC_SIZE])
 {
 	crypto_generichash(mac, TR_MAC_SIZE, data, len, secret, TR_SECRET_SIZE);
 }
 
-/* Authenticate data under the fleet key (keyed BLAKE2b, 16 bytes). */
+/* Computes the MAC of data under the fleet key (keyed BLAKE2b, 16 bytes). */
 void tr_mac(const struct tr_secret *secret, const void *data, size_t len,
 	    unsigned char mac[TR_MAC_SIZE])
 {
-	mac_with(secret->bytes, data, len, mac);
+	compute_mac(secret->bytes, data, len, mac);
 }
 
 /*
- * 0 when the mac is right under the fleet key or, while keys are rotated,
- * under the previous one; else -1.
+ * Returns 0 if the MAC is valid under the fleet key or, during key rotation,
+ * under the previous one; otherwise -1.
  */
 int tr_mac_check(const struct tr_secret *secret, const void *data, size_t len,
 		 const unsigned char mac[TR_MAC_SIZE])
 {
 	unsigned char want[TR_MAC_SIZE];
 
-	mac_with(secret->bytes, data, len, want);
+	compute_mac(secret->bytes, data, len, want);
 	if (!sodium_memcmp(want, mac, TR_MAC_SIZE))
 		return 0;
 	if (!secret->has_previous)
 		return -1;
-	mac_with(secret->previous, data, len, want);
+	compute_mac(secret->previous, data, len, want);
 	return sodium_memcmp(want, mac, TR_MAC_SIZE) ? -1 : 0;
 }
 
-/* Write a key as text that passes through headers and URLs. */
+/* Encodes a key as text that is safe in headers and URLs. */
 void tr_key_write(const struct tr_key *key, const struct tr_secret *secret,
 		  char text[TR_KEY_TEXT])
 {
@@ -66,12 +69,14 @@
 	at = put(at, key->expiry_s, 4);
 	at = put(at, key->address, 4);
 	at = put(at, key->port, 2);
-	tr_mac(secret, raw, KEY_BODY, at);
+	tr_mac(secret, raw, KEY_BODY_SIZE, at);
 	sodium_bin2base64(text, TR_KEY_TEXT, raw, sizeof(raw),
 			  sodium_base64_VARIANT_URLSAFE_NO_PADDING);
 }
 
-/* Read a key; -1 when it is malformed or was not minted by this fleet. */
+/*
+ * Decodes a key. Returns -1 if it is malformed or its MAC is not of this fleet.
+ */
 int tr_key_read(struct tr_key *key, const struct tr_secret *secret,
 		const char *text)
 {
@@ -83,7 +88,7 @@
 			      NULL, sodium_base64_VARIANT_URLSAFE_NO_PADDING))
 		return -1;
 	if (len != sizeof(raw) ||
-	    tr_mac_check(secret, raw, KEY_BODY, raw + KEY_BODY))
+	    tr_mac_check(secret, raw, KEY_BODY_SIZE, raw + KEY_BODY_SIZE))
 		return -1;
 	memcpy(key->boot.id, at, TR_BOOT_SIZE);
 	at += TR_BOOT_SIZE;
--- a/lib/key.h
+++ b/lib/key.h
@@ -1,3 +1,4 @@
+/* Keys for requests that must not be repeated, and message authentication. */
 #ifndef TR_KEY_H
 #define TR_KEY_H
 
@@ -10,32 +11,33 @@
 #define TR_SECRET_SIZE 32
 #define TR_BOOT_SIZE   16
 #define TR_MAC_SIZE    16
-/* Characters of a key as text, with the final zero. */
+/* Size of a key as text, with the terminating NUL. */
 #define TR_KEY_TEXT 97
 
-/* The fleet key, shared by all VMs of a user; previous is still accepted
- * while keys are rotated. */
+/*
+ * The fleet key, shared by all VMs of a fleet; the previous one is still
+ * accepted during key rotation.
+ */
 struct tr_secret {
 	unsigned char bytes[TR_SECRET_SIZE];
 	unsigned char previous[TR_SECRET_SIZE];
 	int has_previous;
 };
 
-/* One incarnation of one process. */
+/* Random identifier of one process. */
 struct tr_boot {
 	unsigned char id[TR_BOOT_SIZE];
 };
 
 /*
- * A key for one request that must not repeat. It names the one process that
- * may send the request on, so no two processes need to agree on anything.
- * Expiry is in seconds of the minting process's own monotonic clock.
+ * A key for one request that must not be repeated. It names the only process
+ * that may send the request on, so processes need not agree on anything.
  */
 struct tr_key {
 	struct tr_boot boot;
 	uint64_t number;
 	uint64_t service;
-	uint32_t expiry_s;
+	uint32_t expiry_s; /* on the minting process's monotonic clock */
 	uint32_t address;
 	uint16_t port;
 };
--- a/lib/list_check.c
+++ b/lib/list_check.c
@@ -1,37 +1,40 @@
 /*
- * Whether this VM's list of targets is that of the others: by a digest in each
- * message. One that is equal proves this VM's to be as young as the other's.
+ * Compares this VM's list of targets with those of others, by a digest in every
+ * message. An equal digest proves that this VM's list is as recent as the
+ * other's.
  *
- * What goes wrong without it: a change is lost on its way to one VM, which goes
- * on sending to a target that has left; one would notice by `target` lines that
- * are missing on single VMs, and a growing view_age_ms in their request lines.
+ * Without this, when a change is lost on its way to one VM, that VM goes on
+ * sending to a target that has left. It would show in `target` lines that are
+ * missing on single VMs and a growing view_age_ms in their request lines.
  */
 #include "list_check.h"
 
 #include "clock.h"
 
-/* How long two lists may differ before one is fetched whole, and at random up
- * to as much again: changes are told for 0.6 s, and what is on its way mends
- * most differences. */
-#define DIFFERS_FOR TR_MSEC(700)
+/*
+ * How long lists may differ before a whole one is fetched, with up to as much
+ * again of random delay. Changes are sent for 0.6 s, and those under way
+ * resolve most differences.
+ */
+#define FETCH_DELAY TR_MSEC(700)
 
-static void differs(struct tr_list_check *c, uint64_t as_of,
-		    struct tr_random *random, apr_time_t now)
+static void note_difference(struct tr_list_check *c, uint64_t as_of,
+			    struct tr_random *random, apr_time_t now)
 {
 	if (!c->since)
-		c->since = now + tr_random_below(random, DIFFERS_FOR);
+		c->since = now + tr_random_below(random, FETCH_DELAY);
 	if (as_of > c->as_of)
 		c->as_of = as_of;
 }
 
 /*
- * Another VM told of its list. True when it is to be fetched from there: it is
- * newer, and newer lists have differed for a while.
+ * Compares with the list that another VM reported. Returns true if that list
+ * should be fetched: it is newer, and newer lists have differed for a while.
  *
- * That an older list is equal says nothing: two VMs that missed the same change
- * are no proof for each other. When they were taken for one, some of 442 VMs
- * kept the list of their start for 19 s, and a target got requests 9.7 s after
- * it had begun to leave.
+ * An equal digest of an older list does not end a difference: two VMs that
+ * missed the same change would confirm each other. When that was accepted, some
+ * of 442 VMs kept their first list for 19 s, and a target got requests 9.7 s
+ * after it had begun to leave.
  */
 bool tr_list_check_compare(struct tr_list_check *c, struct tr_roster *roster,
 			   const struct tr_list_report *reported,
@@ -50,6 +53,6 @@
 	    (reported->as_of == roster->as_of &&
 	     now - reported->age <= roster->confirmed_at))
 		return false;
-	differs(c, reported->as_of, random, now);
-	return now - c->since > DIFFERS_FOR;
+	note_difference(c, reported->as_of, random, now);
+	return now - c->since > FETCH_DELAY;
 }
--- a/lib/list_check.h
+++ b/lib/list_check.h
@@ -4,17 +4,19 @@
 #include "hash.h"
 #include "roster.h"
 
-/* What another VM tells of its list of targets. */
+/* What another VM reports about its list of targets. */
 struct tr_list_report {
 	uint64_t as_of;
 	uint64_t digest;
 	apr_time_t age;
 };
 
-/* Since when a newer list is known to differ from this VM's, 0 when none is,
- * and as of which revision of the store. */
+/*
+ * Since when a newer list is known to differ from this VM's, and the newest
+ * revision of the store it is of.
+ */
 struct tr_list_check {
-	apr_time_t since;
+	apr_time_t since; /* 0: no difference is known */
 	uint64_t as_of;
 };
 
--- a/lib/member.c
+++ b/lib/member.c
@@ -1,3 +1,4 @@
+/* Tracking the peers of a service's cell by their messages. */
 #include "member.h"
 
 #include <stdio.h>
@@ -5,7 +6,7 @@
 
 #include "gossip.h"
 
-/* The peer with that VM id, or NULL. */
+/* Returns the peer with that VM id, or NULL. */
 struct tr_peer *tr_member_find(struct tr_service *svc, uint64_t vm_id)
 {
 	for (unsigned i = 0; i < svc->peers_count; i++)
@@ -14,13 +15,16 @@
 	return NULL;
 }
 
-/* The slot of a peer's outcomes in each target's evidence. */
+/* Returns the index of the peer's outcomes in each target's evidence. */
 unsigned tr_member_source(const struct tr_service *svc,
 			  const struct tr_peer *peer)
 {
 	return (unsigned)(peer - svc->peers) + 1;
 }
 
+/*
+ * Forgets a peer's outcomes at every target, when another process sends them.
+ */
 static void forget_source(struct tr_service *svc, const struct tr_peer *peer)
 {
 	unsigned source = tr_member_source(svc, peer);
@@ -29,7 +33,11 @@
 		tr_evidence_forget_source(&svc->targets[i].evidence, source);
 }
 
-static struct tr_peer *slot_for(struct tr_service *svc)
+/*
+ * Returns a row that is unused or of a VM outside the cell, or NULL if there is
+ * none.
+ */
+static struct tr_peer *alloc_peer(struct tr_service *svc)
 {
 	if (svc->peers_count < TR_MAX_CELL)
 		return &svc->peers[svc->peers_count++];
@@ -44,7 +52,7 @@
 	struct tr_peer *peer = tr_member_find(svc, vm->id);
 
 	if (!peer) {
-		peer = slot_for(svc);
+		peer = alloc_peer(svc);
 		if (!peer)
 			return;
 		memset(peer, 0, sizeof(*peer));
@@ -56,7 +64,11 @@
 	peer->vantage = tr_document_vantage(svc->document, vm->data_centre);
 }
 
-static void share_out_slots(struct tr_board *board, struct tr_service *svc)
+/*
+ * Assigns every slot of every target to one VM of the cell, by rendezvous
+ * hashing, and counts those of this VM.
+ */
+static void assign_home_slots(struct tr_board *board, struct tr_service *svc)
 {
 	for (unsigned t = 0; t < svc->targets_count; t++) {
 		struct tr_target *target = &svc->targets[t];
@@ -65,7 +77,7 @@
 		for (uint32_t s = 0; s < svc->document->slots; s++) {
 			uint64_t slot = tr_hash_pair(target->id, s);
 			uint64_t best = 0;
-			uint64_t home = 0;
+			uint64_t best_vm = 0;
 
 			for (size_t m = 0; m < svc->cell.count; m++) {
 				uint64_t id =
@@ -75,18 +87,18 @@
 
 				if (score >= best) {
 					best = score;
-					home = id;
+					best_vm = id;
 				}
 			}
-			target->home_slots += home == board->vm_id;
+			target->home_slots += best_vm == board->vm_id;
 		}
 	}
 }
 
 /*
- * Work out the cell anew, after the list, the document or the targets have
- * changed. A VM that leaves the cell keeps its row while callers may still
- * hold an address of it. Writes the cell and the peers.
+ * Recomputes the cell after the list of VMs, the document or the targets have
+ * changed. A VM that leaves the cell keeps serving the service while callers
+ * may still hold its address. Updates the cell, the peers and the home slots.
  */
 void tr_member_update_cell(struct tr_board *board, struct tr_service *svc)
 {
@@ -104,7 +116,7 @@
 		if (vm->id != board->vm_id)
 			add_peer(svc, vm);
 	}
-	share_out_slots(board, svc);
+	assign_home_slots(board, svc);
 }
 
 static bool is_retired(const struct tr_peer *peer, const struct tr_boot *boot)
@@ -116,9 +128,10 @@
 }
 
 /*
- * Another process speaks for the peer's VM. There is neither disk nor clock
- * to tell which is the newer, so the first change is believed and the old
- * incarnation retired: a late datagram of it can't bring it back.
+ * Switches to a new process that sends for the peer's VM. Processes store
+ * nothing on disk and clocks are not trusted, so nothing says which is newer:
+ * the first change is believed and the old process retired, so that its late
+ * datagrams are ignored.
  */
 static void replace_boot(struct tr_board *board, struct tr_service *svc,
 			 struct tr_peer *peer, const struct tr_boot *boot)
@@ -127,7 +140,7 @@
 		peer->retired[peer->retired_count++ % TR_RETIRED_PEER_BOOTS] =
 			peer->boot;
 		tr_board_event(board, TR_EVENT_PEER_REPLACED, svc->name,
-			       peer->name, "a new process answers for it");
+			       peer->name, "messages come from a new process");
 	}
 	peer->boot = *boot;
 	peer->known = true;
@@ -139,8 +152,9 @@
 }
 
 /*
- * Take in who sent a message and when. TR_OK, or TR_STALE_DATAGRAM for one
- * that is older than what is known.
+ * Updates the peer from the header of its message. Returns TR_OK, or
+ * TR_STALE_DATAGRAM if the message is from a retired process or not newer than
+ * the last.
  */
 enum tr_result tr_member_receive(struct tr_board *board, struct tr_service *svc,
 				 struct tr_peer *peer,
@@ -157,7 +171,7 @@
 	peer->sequence = msg->sequence;
 	peer->heard_at = now;
 	peer->peer_sent_at = msg->sent_at;
-	/* An echo of before this process started is of an earlier one here. */
+	/* An older echo is of a message of an earlier process here. */
 	if (msg->echo > peer->last_echo_at && msg->echo <= now &&
 	    msg->echo >= board->started_at)
 		peer->last_echo_at = msg->echo;
@@ -170,9 +184,9 @@
 }
 
 /*
- * Does the peer hear this VM? Hearing it is not enough: in a one-way
- * partition one side hears the other and is not heard. The echo of what this
- * VM sent a short while ago proves the way there.
+ * Returns whether the peer receives this VM's messages. That it can be heard is
+ * not enough: in a one-way partition, messages pass in one direction only. Its
+ * echo of a recent message proves the other direction.
  */
 bool tr_member_hears_us(const struct tr_peer *peer, apr_time_t now)
 {
@@ -180,7 +194,7 @@
 	       now - peer->last_echo_at <= TR_PEER_TTL;
 }
 
-/* Mark peers up or down by what was heard of them. Writes peers' up. */
+/* Marks peers as up or down by when their last message came. */
 void tr_member_step(struct tr_board *board, struct tr_service *svc,
 		    apr_time_t now)
 {
@@ -194,6 +208,6 @@
 		tr_board_event(board,
 			       up ? TR_EVENT_PEER_UP : TR_EVENT_PEER_DOWN,
 			       svc->name, peer->name, "%s",
-			       up ? "heard again" : "silent");
+			       up ? "messages arrive" : "no messages");
 	}
 }
--- a/lib/member.h
+++ b/lib/member.h
@@ -1,3 +1,7 @@
+/*
+ * The peers of a service's cell: which VMs they are, and whether they are up
+ * and hear this VM.
+ */
 #ifndef TR_MEMBER_H
 #define TR_MEMBER_H
 
--- a/lib/pacer.c
+++ b/lib/pacer.c
@@ -1,26 +1,34 @@
 #include "pacer.h"
 
-/* Seconds of the rate that can be saved up, for the first moments of a fault.
+/*
+ * Size of the bucket in seconds of its rate, which allows a burst when a fault
+ * begins.
  */
-#define SAVED_S 3.0
+#define BURST_S 3.0
 
-/* Is anything left of the rate, in bytes a second? */
+/*
+ * Refills the bucket at rate, in bytes a second, and returns whether any tokens
+ * are left.
+ */
 bool tr_pacer_allows(struct tr_pacer *pacer, double rate, apr_time_t now)
 {
-	double most = rate * SAVED_S;
+	double max = rate * BURST_S;
 
 	if (!pacer->at)
-		pacer->spare = most;
+		pacer->tokens = max;
 	else
-		pacer->spare += rate * (double)(now - pacer->at) / 1e6;
-	if (pacer->spare > most)
-		pacer->spare = most;
+		pacer->tokens += rate * (double)(now - pacer->at) / 1e6;
+	if (pacer->tokens > max)
+		pacer->tokens = max;
 	pacer->at = now;
-	return pacer->spare > 0;
+	return pacer->tokens > 0;
 }
 
-/* What was sent counts, also where it had to go whatever was left. */
+/*
+ * Takes bytes that were sent. The bucket may fall below zero: some messages are
+ * sent whatever is left, and later ones wait for it.
+ */
 void tr_pacer_consume(struct tr_pacer *pacer, double bytes)
 {
-	pacer->spare -= bytes;
+	pacer->tokens -= bytes;
 }
--- a/lib/pacer.h
+++ b/lib/pacer.h
@@ -4,9 +4,12 @@
 #include <apr_time.h>
 #include <stdbool.h>
 
-/* A token bucket of bytes. All zero is a beginning: full at the first look. */
+/*
+ * A token bucket that limits bytes a second. All zero is a valid start: it is
+ * filled when first used.
+ */
 struct tr_pacer {
-	double spare;
+	double tokens; /* bytes that may be sent now */
 	apr_time_t at;
 };
 
--- a/lib/retry.c
+++ b/lib/retry.c
@@ -1,27 +1,27 @@
 #include "retry.h"
 
 #define START_TOKENS 5.0
-#define MOST_TOKENS  20.0
+#define MAX_TOKENS   20.0
 
-/* Start with a few retries, so that a quiet service is not left without. */
+/* Starts with a few retries, so that a service with few requests has some. */
 void tr_retry_init(struct tr_retry_budget *budget)
 {
 	budget->tokens = START_TOKENS;
-	budget->most = MOST_TOKENS;
+	budget->max_tokens = MAX_TOKENS;
 }
 
-/* A request went well: it earns percent hundredths of a retry. */
+/* Adds percent hundredths of a retry for a request that succeeded. */
 void tr_retry_deposit(struct tr_retry_budget *budget, uint32_t percent)
 {
 	budget->tokens += (double)percent / 100.0;
-	if (budget->tokens > budget->most)
-		budget->tokens = budget->most;
+	if (budget->tokens > budget->max_tokens)
+		budget->tokens = budget->max_tokens;
 }
 
 /*
- * Take one retry from the budget. Without the budget a fault that fails half
- * the requests doubles the load just when capacity is short, seen as offered
- * load that rises while useful answers fall.
+ * Takes one retry, if the budget has one. Without a budget, a fault that fails
+ * half the requests doubles the load when capacity is short: offered load rises
+ * while goodput falls.
  */
 bool tr_retry_withdraw(struct tr_retry_budget *budget)
 {
--- a/lib/retry.h
+++ b/lib/retry.h
@@ -4,10 +4,10 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Retries allowed as a share of recent first attempts that went well. */
+/* A retry budget: successful first attempts earn a share of a retry each. */
 struct tr_retry_budget {
 	double tokens;
-	double most;
+	double max_tokens;
 };
 
 void tr_retry_init(struct tr_retry_budget *budget);
--- a/lib/revision.c
+++ b/lib/revision.c
@@ -1,10 +1,10 @@
 #include "revision.h"
 
 /*
- * What is an offered revision to a VM that holds this? Revisions only rise: a
- * platform that serves an old copy, or a peer that was away, must not take a
- * team's accepted document back. One would notice by a floor or a route of
- * yesterday.
+ * Compares an offered revision with the one in force. Revisions only rise: a
+ * platform that serves an old copy, or a peer that was away, must not replace
+ * the document that a team has had accepted. Otherwise an old floor or route
+ * would come back.
  */
 enum tr_revision_order tr_revision_compare(const struct tr_revision_state *held,
 					   uint64_t revision)
@@ -17,7 +17,7 @@
 					 : TR_REVISION_NEWER;
 }
 
-/* The value of that revision is in force now. */
+/* Records that the value of that revision is in force now. */
 void tr_revision_accept(struct tr_revision_state *held, uint64_t revision)
 {
 	if (revision <= held->revision)
@@ -26,7 +26,10 @@
 	held->refused = 0;
 }
 
-/* The value of that revision did not pass its check; the held one stays. */
+/*
+ * Records that the value of that revision failed validation; the one in force
+ * stays.
+ */
 void tr_revision_refuse(struct tr_revision_state *held, uint64_t revision)
 {
 	if (revision > held->revision)
