--- a/tests/admit_test.cc
+++ b/tests/admit_test.cc
@@ -49,7 +49,7 @@
 	}
 };
 
-TEST_F(Admit, MustGetThroughGoesFirst)
+TEST_F(Admit, HighestPriorityGoesFirst)
 {
 	put(1, TR_PRIORITY_SHED_FIRST);
 	put(2, TR_PRIORITY_NORMAL);
@@ -61,11 +61,11 @@
 }
 
 /*
- * Symptom: uploads that must get through are refused under load.
- * Sequence: the queue is full of requests that may be shed.
- * Cause: first come, first served.
+ * Guards against refusing requests of the highest priority under load: the
+ * queue is full of requests that may be shed. Happens if it is first come,
+ * first served.
  */
-TEST_F(Admit, FullQueueGivesWayToWhatMustGetThrough)
+TEST_F(Admit, FullQueueEvictsForHigherPriority)
 {
 	void *evicted = nullptr;
 
@@ -78,29 +78,29 @@
 }
 
 /*
- * Symptom: one bank's batch job keeps all savers waiting.
- * Sequence: an organisation fills the queue, then others send one each.
- * Cause: one line for all.
+ * Guards against a batch job of one organisation that delays all others: it
+ * fills the queue, then another organisation sends a request. Happens if all
+ * share one FIFO queue.
  */
-TEST_F(Admit, OrganisationsTakeTurnsAndHaveAShare)
+TEST_F(Admit, OrganisationsAreServedRoundRobinAndHaveAShare)
 {
 	int i = 0;
 
 	while (put(i, TR_PRIORITY_NORMAL, 1) == TR_OK)
 		i++;
-	EXPECT_EQ(i, 6) << "a quarter of the queue, and one";
+	EXPECT_EQ(i, 6) << "a quarter of the queue, plus one";
 	EXPECT_EQ(put(50, TR_PRIORITY_NORMAL, 2), TR_OK);
 	take();
 	EXPECT_EQ(take(), 50);
 }
 
 /*
- * Symptom: under three times the load useful answers fall towards none.
- * Sequence: the queue is served at 10/s; a request with 500 ms of patience
- * comes behind ten others.
- * Cause: it waits past its deadline and is run for nobody.
+ * Guards against goodput that falls towards zero under three times the load:
+ * the queue is served at 10 requests a second, and one with a deadline of 500
+ * ms comes behind ten others. Happens if it is queued past its deadline and run
+ * in vain.
  */
-TEST_F(Admit, WorkThatCanNotEndInTimeIsRefusedBeforeItIsSent)
+TEST_F(Admit, RequestThatWouldMissItsDeadlineIsRefused)
 {
 	for (int i = 0; i < 12; i++)
 		put(i, TR_PRIORITY_NORMAL, 0, TR_SEC(60));
@@ -116,9 +116,9 @@
 }
 
 /*
- * Symptom: after a quiet night the first requests are refused as late.
- * Sequence: the queue was idle; its rate reads as almost none.
- * Cause: the rate of an idle queue is taken for its capacity.
+ * Guards against refusing the first requests after an idle night as late: the
+ * rate of the idle queue reads as nearly zero. Happens if that rate is taken
+ * for capacity.
  */
 TEST_F(Admit, IdleTimeDoesNotLowerTheRate)
 {
@@ -133,7 +133,7 @@
 	EXPECT_EQ(put(2, TR_PRIORITY_NORMAL, 0, TR_MSEC(200)), TR_OK);
 }
 
-TEST_F(Admit, LateOnesAreFound)
+TEST_F(Admit, LateRequestsAreRemoved)
 {
 	put(1, TR_PRIORITY_MUST, 0, TR_MSEC(20));
 	put(2, TR_PRIORITY_MUST, 1, TR_SEC(9));
@@ -145,11 +145,11 @@
 }
 
 /*
- * Symptom: a fault that fails half the requests doubles the load.
- * Sequence: every failure is tried again, every retry fails too.
- * Cause: retries without a budget.
+ * Guards against a fault that fails half the requests and so doubles the load:
+ * every failure is retried, and every retry fails too. Happens if retries have
+ * no budget.
  */
-TEST(Retry, BudgetIsAShareOfWhatGoesWell)
+TEST(Retry, BudgetIsAShareOfSuccessfulRequests)
 {
 	tr_retry_budget budget;
 	int allowed = 0;
--- a/tests/dispatch_test.cc
+++ b/tests/dispatch_test.cc
@@ -63,7 +63,7 @@
 	}
 };
 
-TEST_F(Dispatch, KeyIsAdmittedOnceAndAnswersAgain)
+TEST_F(Dispatch, KeyIsAdmittedOnceAndTheAnswerIsReplayed)
 {
 	tr_key key = mint();
 	uint32_t record;
@@ -77,10 +77,9 @@
 }
 
 /*
- * Symptom: a purchase is drawn twice.
- * Sequence: the request is sent, the connection breaks, the caller retries
- * with the same key.
- * Cause: an unknown outcome taken for a failure that may be tried again.
+ * Guards against charging a purchase twice: the request is sent, the connection
+ * breaks and the caller retries with the same key. Happens if an unknown
+ * outcome is treated as a failure that may be retried.
  */
 TEST_F(Dispatch, UnknownOutcomeIsNeverSentAgain)
 {
@@ -94,7 +93,7 @@
 	EXPECT_EQ(tr_result_outcome(TR_KEY_SPENT), TR_OUTCOME_UNKNOWN);
 }
 
-TEST_F(Dispatch, ProvablyNotRunMayBeSentAgain)
+TEST_F(Dispatch, RequestKnownNotToHaveRunMayBeSentAgain)
 {
 	tr_key key = mint();
 	uint32_t record;
@@ -106,9 +105,9 @@
 }
 
 /*
- * Symptom: a purchase is drawn twice after a VM was replaced.
- * Sequence: a VM sends it and is killed; its successor gets the same key.
- * Cause: the successor has no record of it and takes it for new.
+ * Guards against charging a purchase twice after a VM was replaced: the VM
+ * sends the request and is killed, and its successor gets the same key. Happens
+ * if the successor, which has no record of the key, treats it as new.
  */
 TEST_F(Dispatch, KeyOfAnEarlierProcessIsDead)
 {
@@ -120,12 +119,12 @@
 }
 
 /*
- * Symptom: a purchase is drawn twice, minutes apart.
- * Sequence: a process is paused past the key's life with the retry in its
- * buffer; the record is swept; the retry is read.
- * Cause: a forgotten key looks like a new one.
+ * Guards against charging a purchase twice, minutes apart: a process is paused
+ * past the key's lifetime with the retry in its buffer, sweeps the record and
+ * then reads the retry. Happens if a key whose record is gone is treated as
+ * new.
  */
-TEST_F(Dispatch, ExpiredKeyIsRefusedAlsoWhenForgotten)
+TEST_F(Dispatch, ExpiredKeyIsRefusedAfterItsRecordIsFreed)
 {
 	tr_key key = mint();
 	uint32_t record;
@@ -138,7 +137,7 @@
 	EXPECT_EQ(admit(key), TR_KEY_EXPIRED);
 }
 
-TEST_F(Dispatch, RunningRequestIsNotForgotten)
+TEST_F(Dispatch, RecordOfARunningRequestIsKept)
 {
 	tr_key key = mint();
 	uint32_t record;
@@ -151,11 +150,11 @@
 }
 
 /*
- * Symptom: under a flood, old requests are run a second time.
- * Sequence: the table fills; one more key comes.
- * Cause: room is made by forgetting a key that is still alive.
+ * Guards against running old requests again under a flood: the table is full
+ * and one more key comes. Happens if a record is dropped for it before its key
+ * has expired.
  */
-TEST_F(Dispatch, FullTableRefusesInsteadOfForgetting)
+TEST_F(Dispatch, FullTableRefusesNewKeys)
 {
 	tr_key first = mint();
 	uint32_t record;
@@ -170,12 +169,11 @@
 }
 
 /*
- * Symptom: a caller that repeats itself with a fresh key buys twice.
- * Sequence: it sends its own Idempotency-Key with one minted key, gets no
- * answer, and sends it again with another minted key.
- * Cause: only the minted key is looked at.
+ * Guards against a second purchase by a caller that retries with a fresh minted
+ * key: it sends its own Idempotency-Key with one minted key, gets no answer and
+ * sends it again with another. Happens if only the minted key is checked.
  */
-TEST_F(Dispatch, CallersOwnKeyIsBoundToTheFirstMintedOne)
+TEST_F(Dispatch, IdempotencyKeyIsBoundToTheFirstMintedKey)
 {
 	uint32_t record;
 
@@ -195,7 +193,7 @@
 	EXPECT_EQ(admit(key, nullptr, 2), TR_KEY_OTHER_BODY);
 }
 
-TEST_F(Dispatch, AnswersAreKeptUpToABoundTheFactAlways)
+TEST_F(Dispatch, AnswersAreKeptUpToALimitAndOutcomesAlways)
 {
 	tr_key a = mint();
 	tr_key b = mint();
@@ -225,7 +223,7 @@
 	EXPECT_EQ(tr_key_read(&key, &other, text), -1);
 }
 
-TEST_F(Dispatch, PreviousFleetKeyIsTakenWhileRotating)
+TEST_F(Dispatch, PreviousFleetKeyIsAcceptedDuringRotation)
 {
 	char text[TR_KEY_TEXT];
 	tr_secret rotated{};
--- a/tests/document_test.cc
+++ b/tests/document_test.cc
@@ -40,7 +40,7 @@
 	return docfile_parse(text.data(), text.size(), "doc.yaml", err);
 }
 
-TEST(Document, GoodOneIsTakenAndDefaultsFilledIn)
+TEST(Document, ValidDocumentIsAcceptedWithDefaults)
 {
 	tr_error err;
 	tr_document *doc = parse(good, &err);
@@ -80,7 +80,7 @@
 struct BadDocument : testing::TestWithParam<Bad> {
 };
 
-TEST_P(BadDocument, IsRefusedByLineFieldAndExpectation)
+TEST_P(BadDocument, IsRejectedWithLineFieldAndExpectedValue)
 {
 	const Bad &bad = GetParam();
 	tr_error err;
@@ -128,7 +128,7 @@
 				 return std::string(p.param.name);
 			 });
 
-TEST(Document, FloorAboveTheNumberOfTargetsIsAContradiction)
+TEST(Document, FloorAboveTheNumberOfTargetsIsRejected)
 {
 	std::string text =
 		changed("target_list: ledger-view",
@@ -142,7 +142,7 @@
 	EXPECT_STREQ(err.value, "2");
 }
 
-TEST(Document, EmptyAndBinaryTextIsRefused)
+TEST(Document, EmptyAndBinaryTextIsRejected)
 {
 	tr_error err;
 
--- a/tests/evidence_test.cc
+++ b/tests/evidence_test.cc
@@ -4,7 +4,7 @@
 
 static const apr_time_t settle = TR_VOTE_TTL + TR_ORDER_TTL + TR_SEC(3);
 
-TEST(Evidence, ThresholdFollowsTheTeamsWish)
+TEST(Evidence, ThresholdsFollowTheEjectionRules)
 {
 	tr_ejection_rules cautious = { 0.01, 2000, TR_DETECTOR_CUSUM };
 	tr_ejection_rules eager = { 5, 800, TR_DETECTOR_CUSUM };
@@ -16,13 +16,13 @@
 	EXPECT_GT(a.min_base_rate, b.min_base_rate);
 }
 
-TEST(Evidence, LateAndDoubledTotalsCountOnce)
+TEST(Evidence, LateAndDuplicateTotalsCountOnce)
 {
 	tr_evidence ev{};
 	tr_outcome_batch batch{};
 
 	EXPECT_FALSE(tr_evidence_diff_totals(&ev, 1, { 500, 50, 0 }, &batch))
-		<< "what it counted before this VM listened";
+		<< "first totals may be older than this VM";
 	EXPECT_TRUE(tr_evidence_diff_totals(&ev, 1, { 510, 52, 0 }, &batch));
 	EXPECT_EQ(batch.well, 10u);
 	EXPECT_EQ(batch.bad, 2u);
@@ -33,7 +33,7 @@
 	EXPECT_EQ(batch.bad, 0u);
 }
 
-TEST(Evidence, FadesWithTime)
+TEST(Evidence, DecaysOverTime)
 {
 	tr_evidence ev{};
 	tr_outcome_batch bad = { 0, 0, 0, 5, 5 };
@@ -47,11 +47,11 @@
 }
 
 /*
- * Symptom: a healthy target is ejected though only one VM had trouble.
- * Sequence: the network of one VM breaks; its requests to a target fail.
- * Cause: failures that share a cause are counted as if drawn apart.
+ * Guards against ejecting a healthy target when only one VM has network
+ * trouble: its requests to the target fail together. Happens if failures with a
+ * common cause are counted as independent.
  */
-TEST(Evidence, OneVmsWordIsNotEnoughWhereAnotherUsesTheTarget)
+TEST(Evidence, OneVmIsNotEnoughIfAnotherUsesTheTarget)
 {
 	tr_ejection_rules team = { 0.01, 2000, TR_DETECTOR_CUSUM };
 	tr_evidence_rules rules;
@@ -68,10 +68,10 @@
 	tr_evidence_add(&ev, &theirs, 0.02, TR_SEC(1));
 	EXPECT_EQ(tr_evidence_sick_vantages(&ev, &rules, TR_SEC(1)),
 		  TR_EVERY_VANTAGE)
-		<< "no other vantage uses it";
+		<< "two VMs of the only vantage have evidence";
 }
 
-TEST(Evidence, AMinorityOfVantagesSpeaksForItselfOnly)
+TEST(Evidence, AMinorityOfVantagesEjectsForItselfOnly)
 {
 	tr_ejection_rules team = { 5, 800, TR_DETECTOR_CUSUM };
 	tr_evidence_rules rules;
@@ -95,12 +95,12 @@
 }
 
 /*
- * Symptom: a dead target is ejected for one data centre only, and trickles of
- * the others go on failing there.
- * Sequence: two VMs of one data centre see it fail; cell_sum others avoid it at
- * once and so have nothing to say. Cause: silence is taken for contentment.
+ * Guards against ejecting a target that is down for one data centre only, so
+ * that probes from the others go on failing: two VMs of one data centre see it
+ * fail, and all others avoid it at once and have no outcomes. Happens if no
+ * outcome is treated as a success.
  */
-TEST(Evidence, VantagesThatSentNothingSinceDoNotRefute)
+TEST(Evidence, VantagesWithoutRecentRequestsDoNotCount)
 {
 	tr_ejection_rules team = { 5, 800, TR_DETECTOR_CUSUM };
 	tr_evidence_rules rules;
@@ -122,9 +122,9 @@
 }
 
 /*
- * Symptom: a slow database behind a service has its targets ejected one by one.
- * Sequence: cell_sum targets of the service begin to fail three requests in
- * ten. Cause: each is held against a fixed rate and not against its peers.
+ * Guards against ejecting targets one by one when a database behind the service
+ * is slow: all targets begin to fail three requests in ten. Happens if a target
+ * is compared with a fixed rate and not with its peers.
  */
 TEST(Evidence, FaultThatAllTargetsShareEjectsNone)
 {
@@ -141,9 +141,9 @@
 }
 
 /*
- * Symptom: one VM with a broken path speaks against every target.
- * Sequence: cell_sum requests of one VM fail, those of the others go well.
- * Cause: its evidence is believed like anybody's.
+ * Guards against one VM with a broken network path accusing every target: all
+ * of its requests fail, and those of the other VMs succeed. Happens if its
+ * evidence counts like that of any other VM.
  */
 TEST(Detector, VmThatSeesMostTargetsFailSuspectsItself)
 {
@@ -160,11 +160,11 @@
 }
 
 /*
- * Symptom: under load, targets that shed are ejected and the rest drown.
- * Sequence: a target refuses every other request because its slots are full.
- * Cause: a refusal is taken for a failure.
+ * Guards against ejecting targets that shed load, which overloads the rest: a
+ * target refuses requests because its slots are taken. Happens if a refusal
+ * counts as a failure.
  */
-TEST(Detector, SheddingIsNoSickness)
+TEST(Detector, RefusalsAreNotFailures)
 {
 	FakeClock clock;
 	FakeDocument doc;
@@ -183,11 +183,11 @@
 }
 
 /*
- * Symptom: a caller with a deadline of 1 ms gets healthy targets ejected.
- * Sequence: its requests time out at every target at once.
- * Cause: a time-out is charged to the target, however short.
+ * Guards against ejecting healthy targets for a caller with a deadline of 1 ms:
+ * its requests time out at every target. Happens if a timeout counts against
+ * the target, however short the deadline was.
  */
-TEST(Detector, CallersHasteIsNotTheTargetsFault)
+TEST(Detector, ShortDeadlineOfACallerIsNoFailureOfTheTarget)
 {
 	FakeClock clock;
 	FakeDocument doc;
@@ -202,11 +202,11 @@
 }
 
 /*
- * Symptom: a target that never answers is noticed only after its deadline.
- * Sequence: requests to it hang while cell_sum others take 5 ms.
- * Cause: an attempt speaks only when it ends.
+ * Guards against noticing a target that never answers only after the deadline:
+ * requests to it hang while all others take 5 ms. Happens if an attempt counts
+ * only when it ends.
  */
-TEST(Detector, OverdueAttemptSpeaksWhileItRuns)
+TEST(Detector, OverdueAttemptCountsAsAFailureWhileItRuns)
 {
 	FakeClock clock;
 	FakeDocument doc;
@@ -242,7 +242,7 @@
 	EXPECT_EQ(tr_detector_by_name("none"), nullptr);
 }
 
-TEST(Detector, FiveInARowEjectsAtOneVmAlone)
+TEST(Detector, FiveConsecutiveFailuresEjectOnOneVm)
 {
 	FakeClock clock;
 	FakeDocument doc;
@@ -259,13 +259,12 @@
 }
 
 /*
- * Symptom: a dead target is used for seconds more than the first failures
- * would take to tell.
- * Sequence: two VMs see a target fail; then the calm report of a third comes,
- * with the good outcomes of the six seconds before the fault.
- * Cause: outcomes are added in the order in which they are heard of.
+ * Guards against using a target that is down for seconds longer than the first
+ * failures allow: two VMs see it fail, and then a third reports, after an idle
+ * period, the successes of the six seconds before the fault. Happens if
+ * outcomes are added in the order in which reports arrive.
  */
-TEST(Evidence, GoodOutcomesOfBeforeTheFaultDoNotCancelIt)
+TEST(Evidence, LateSuccessesFromBeforeAFaultDoNotCancelIt)
 {
 	tr_evidence ev{};
 	tr_outcome_batch early = { 3, 0, 5, 0, 0 };
@@ -279,18 +278,19 @@
 	before = ev.cell_sum;
 	tr_evidence_add(&ev, &late, 0.01, TR_SEC(7));
 	/* Of six seconds, what is older than a tick and a bit counts little. */
+	/* Most of the six seconds of successes are from before the fault. */
 	EXPECT_GT(ev.cell_sum, before * 0.75);
 	tr_evidence_add(&ev, &fresh, 0.01, TR_SEC(7) + TR_MSEC(400));
-	EXPECT_EQ(ev.cell_sum, 0) << "those of after it do";
+	EXPECT_EQ(ev.cell_sum, 0) << "successes after the fault do";
 }
 
 /*
- * Symptom: a dead target is avoided for ever and never ejected.
- * Sequence: the cell avoids it after a few failures; from then on it gets one
- * request a second, which fails.
- * Cause: evidence fades as fast as these add to it.
+ * Guards against avoiding a target that is down for ever without ejecting it:
+ * the cell avoids it after a few failures, and from then on it gets one request
+ * a second, which fails. Happens if the evidence decays as fast as these
+ * failures add up.
  */
-TEST(Evidence, StaysWhileAllThatIsSentFails)
+TEST(Evidence, DoesNotDecayWhileEveryRequestFails)
 {
 	tr_evidence ev{};
 	apr_time_t now = TR_SEC(1);
@@ -309,17 +309,16 @@
 
 	tr_evidence_add(&ev, &well, 0.02, now);
 	tr_evidence_decay(&ev, now + TR_SEC(12));
-	EXPECT_LT(ev.cell_sum, before / 3) << "one good outcome lets it fade";
+	EXPECT_LT(ev.cell_sum, before / 3) << "it decays after one success";
 }
 
 /*
- * Symptom: a target that dies while it is avoided is never ejected.
- * Sequence: a stall has the cell avoid a target, which then does some work
- * well; it dies; from then on it gets one trickle a second, cell_sum of which
- * fail. Cause: the good outcomes of after the stall count as newer than the
- * trouble.
+ * Guards against never ejecting a target that goes down while it is avoided:
+ * after a stall the cell avoids it, it answers some requests, goes down and
+ * then gets one probe a second, all of which fail. Happens if the successes
+ * after the stall count as newer than the fault.
  */
-TEST(Evidence, TargetThatDiesWhileItIsAvoidedIsAccused)
+TEST(Evidence, TargetThatFailsWhileAvoidedIsFoundSick)
 {
 	tr_ejection_rules team = { 0.01, 2000, TR_DETECTOR_CUSUM };
 	tr_evidence_rules rules;
@@ -348,13 +347,15 @@
 		  TR_EVERY_VANTAGE);
 }
 
-/* How long cell_sum has failed: what ejecting asks for. */
+/*
+ * For how long every request has failed, which is a condition for an ejection.
+ */
 struct Failing : testing::Test {
 	tr_evidence ev{};
 	apr_time_t now = TR_SEC(10);
 
-	void told(unsigned source, uint32_t well, uint32_t bad,
-		  uint32_t bad_run)
+	void report(unsigned source, uint32_t well, uint32_t bad,
+		    uint32_t bad_run)
 	{
 		tr_outcome_batch batch = { source, (int)source / 2, well, bad,
 					   bad_run };
@@ -368,49 +369,49 @@
 	}
 };
 
-TEST_F(Failing, CountsFromTheFirstFailureToTheLast)
+TEST_F(Failing, LastsFromTheFirstFailureToTheLast)
 {
-	told(0, 0, 1, 1);
+	report(0, 0, 1, 1);
 	EXPECT_EQ(failing(), 0);
 	now += TR_SEC(2);
-	told(3, 0, 2, 3);
+	report(3, 0, 2, 3);
 	now += TR_SEC(5);
 	EXPECT_EQ(failing(), TR_SEC(2));
 }
 
-TEST_F(Failing, EndsWithAGoodOutcome)
+TEST_F(Failing, EndsWithASuccess)
 {
-	told(0, 0, 1, 1);
+	report(0, 0, 1, 1);
 	now += TR_MSEC(500);
-	told(0, 1, 0, 0);
+	report(0, 1, 0, 0);
 	now += TR_MSEC(500);
-	told(0, 0, 1, 1);
+	report(0, 0, 1, 1);
 	now += TR_MSEC(200);
-	told(0, 0, 1, 2);
+	report(0, 0, 1, 2);
 	EXPECT_EQ(failing(), TR_MSEC(200));
 }
 
-/* Good outcomes of before the trouble, told late, end nothing. */
-TEST_F(Failing, OldNewsDoNotEndIt)
+/* Successes from before the fault that are reported late do not end it. */
+TEST_F(Failing, LateReportsOfOldSuccessesDoNotEndIt)
 {
-	told(2, 1, 0, 0);
+	report(2, 1, 0, 0);
 	now += TR_SEC(3);
-	told(0, 0, 1, 1);
+	report(0, 0, 1, 1);
 	now += TR_MSEC(300);
-	told(2, 9, 0, 0);
+	report(2, 9, 0, 0);
 	now += TR_MSEC(700);
-	told(0, 0, 1, 2);
+	report(0, 0, 1, 2);
 	EXPECT_EQ(failing(), TR_SEC(1));
 }
 
-TEST_F(Failing, WhatOneVantageSeesIsItsOwn)
+TEST_F(Failing, IsMeasuredPerVantage)
 {
-	told(6, 1, 0, 0);
-	told(0, 0, 1, 1);
+	report(6, 1, 0, 0);
+	report(0, 0, 1, 1);
 	now += TR_MSEC(400);
-	told(6, 1, 0, 0);
+	report(6, 1, 0, 0);
 	now += TR_MSEC(400);
-	told(0, 0, 1, 2);
+	report(0, 0, 1, 2);
 	EXPECT_EQ(failing(), 0);
 	EXPECT_EQ(tr_evidence_failing_duration(&ev, 1U << 0), TR_MSEC(800));
 	EXPECT_EQ(tr_evidence_failing_duration(&ev, 1U << 3), 0);
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -1,3 +1,7 @@
+/*
+ * Fakes for tests of a cell: a clock, a document, VMs and the messages between
+ * them.
+ */
 #ifndef FAKE_H
 #define FAKE_H
 
@@ -17,7 +21,7 @@
 #include "service.h"
 }
 
-/* Time that moves only when a test says so. */
+/* A clock that only a test advances. */
 struct FakeClock {
 	apr_time_t now = TR_SEC(1000);
 
@@ -32,7 +36,7 @@
 	}
 };
 
-/* A document of one service over some data centres, which a test may change. */
+/* A document of one service over some data centres; tests may change it. */
 struct FakeDocument {
 	tr_document doc{};
 	std::vector<std::string> names;
@@ -99,7 +103,7 @@
 	return entries;
 }
 
-/* Field by field: the bytes between fields are nobody's. */
+/* Compares field by field: padding bytes are undefined. */
 inline bool same(const tr_gossip &a, const tr_gossip &b)
 {
 	bool rows = a.rows_count == b.rows_count;
@@ -120,7 +124,7 @@
 	       a.targets_revision == b.targets_revision;
 }
 
-/* One VM's blackboard, with one service. */
+/* One VM with one service. */
 struct FakeVm {
 	std::unique_ptr<tr_board> board{ new tr_board() };
 	tr_service *svc = nullptr;
@@ -128,7 +132,8 @@
 	std::vector<tr_vm> vms;
 
 	FakeVm(FakeClock &clock, const std::vector<tr_vm> &fleet, size_t me,
-	       FakeDocument &doc, unsigned targets, unsigned char life = 1)
+	       FakeDocument &doc, unsigned targets,
+	       unsigned char incarnation = 1)
 	    : vms(fleet)
 	{
 		auto entries =
@@ -142,7 +147,7 @@
 		snprintf(board->data_centre, sizeof(board->data_centre), "%s",
 			 vms[me].data_centre);
 		memset(board->boot.id, (int)me + 1, sizeof(board->boot.id));
-		board->boot.id[0] = life;
+		board->boot.id[0] = incarnation;
 		board->started_at = clock.now;
 		board->fleet.vms = vms.data();
 		board->fleet.count = vms.size();
@@ -166,7 +171,7 @@
 		return &svc->targets[i];
 	}
 
-	/* One attempt at a target that ended well or badly. */
+	/* One attempt at a target that succeeds or fails. */
 	void outcome(unsigned i, bool well)
 	{
 		apr_time_t now = tr_clock_now(&board->clock);
@@ -185,8 +190,8 @@
 };
 
 /*
- * The VMs of one cell and what lies between them: messages can be lost one
- * way, and VMs can be paused. Time passes in steps of 50 ms.
+ * The VMs of one cell and the network between them: messages can be lost in one
+ * direction, and VMs can be paused. Time advances in steps of 50 ms.
  */
 struct FakeCell {
 	FakeClock clock;
@@ -200,7 +205,7 @@
 		size_t to;
 		tr_gossip msg;
 	};
-	std::vector<Datagram> held;
+	std::vector<Datagram> buffered;
 
 	explicit FakeCell(unsigned targets_ = 10, unsigned floor = 6)
 	    : doc(4, floor), fleet(fake_vms(4, 2)), targets(targets_)
@@ -226,7 +231,7 @@
 		if (cut[from][to])
 			return;
 		if (paused[to])
-			held.push_back({ to, msg });
+			buffered.push_back({ to, msg });
 		else
 			tr_gossip_receive(vms[to]->board.get(), &msg);
 	}
@@ -265,14 +270,16 @@
 			step();
 	}
 
-	/* What lay in the buffers of a paused VM reaches it when it wakes. */
+	/*
+	 * Resumes a VM, which receives what was buffered while it was paused.
+	 */
 	void wake(size_t i)
 	{
 		paused[i] = false;
-		for (auto &d : held)
+		for (auto &d : buffered)
 			if (d.to == i)
 				tr_gossip_receive(vms[i]->board.get(), &d.msg);
-		held.clear();
+		buffered.clear();
 	}
 
 	void partition(const std::vector<size_t> &side, bool on)
@@ -295,7 +302,10 @@
 		return false;
 	}
 
-	/* Every VM sees the targets of which sick says so fail. */
+	/*
+	 * Makes every VM send to every target in use; those for which sick is
+	 * true fail.
+	 */
 	template <typename Sick> void work(apr_time_t time, Sick sick)
 	{
 		for (apr_time_t t = 0; t < time; t += TR_MSEC(50)) {
@@ -324,7 +334,7 @@
 		return n;
 	}
 
-	/* A target counts as out when any VM has stopped giving it work. */
+	/* Counts the targets that any VM has stopped using. */
 	unsigned out_anywhere()
 	{
 		unsigned n = 0;
--- a/tests/fleet_test.cc
+++ b/tests/fleet_test.cc
@@ -53,7 +53,7 @@
 	}
 }
 
-TEST(Cell, ServicesSpreadOverTheFleet)
+TEST(Cell, ServicesAreSpreadOverTheFleet)
 {
 	auto vms = fake_vms(4, 100);
 	tr_fleet fleet = { 1, vms.size(), vms.data() };
@@ -76,7 +76,7 @@
 	EXPECT_LE(most, 45u) << "the mean is 20";
 }
 
-TEST(Lookup, CallersDataCentreFirstAndCallersSpread)
+TEST(Lookup, CallersDataCentreComesFirstAndCallersAreSpread)
 {
 	auto vms = fake_vms(4, 8);
 	tr_fleet fleet = { 1, vms.size(), vms.data() };
--- a/tests/member_test.cc
+++ b/tests/member_test.cc
@@ -21,11 +21,11 @@
 }
 
 /*
- * Symptom: a VM that nobody hears goes on acting as the owner's voter.
- * Sequence: all messages from VM 3 are lost, those to it arrive.
- * Cause: hearing others is taken for being heard.
+ * Guards against a VM that nobody hears but that goes on as if its votes
+ * counted: all messages from VM 3 are lost, those to it arrive. Happens if
+ * hearing others is taken for being heard.
  */
-TEST(Member, OneWayLossIsNoticedByTheEcho)
+TEST(Member, OneWayLossIsDetectedByTheEcho)
 {
 	FakeCell cell;
 
@@ -43,11 +43,11 @@
 }
 
 /*
- * Symptom: a replaced VM's evidence and votes flip between two processes.
- * Sequence: a VM is replaced; a datagram of its earlier process arrives late.
- * Cause: whichever boot id came last is believed.
+ * Guards against evidence and votes that alternate between two processes of a
+ * VM: the VM is replaced, and a datagram of its earlier process arrives late.
+ * Happens if the boot id received last is believed.
  */
-TEST(Member, LateDatagramOfAnEarlierProcessIsStale)
+TEST(Member, LateDatagramOfAnEarlierProcessIsIgnored)
 {
 	FakeCell cell;
 	tr_gossip late;
@@ -67,12 +67,11 @@
 }
 
 /*
- * Symptom: a VM honours orders longer than its lease.
- * Sequence: somebody copies a datagram meant for one VM to another, whose
- * clock is behind, so that the echo looks recent.
- * Cause: an authentic message does not name its receiver.
+ * Guards against a VM that follows orders beyond their lease: a datagram for
+ * one VM is copied to another, whose clock is behind, so that the echo looks
+ * recent. Happens if an authentic message does not name its receiver.
  */
-TEST(Member, MessageForAnotherVmIsNotTaken)
+TEST(Member, MessageForAnotherVmIsRejected)
 {
 	FakeCell cell;
 	tr_gossip msg;
@@ -86,10 +85,10 @@
 	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &msg), TR_OK);
 	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &msg),
 		  TR_STALE_DATAGRAM)
-		<< "nor twice";
+		<< "the second copy is stale";
 }
 
-TEST(Member, WholeDataCentreGoneLeavesAnOwner)
+TEST(Member, LossOfADataCentreLeavesAnOwner)
 {
 	FakeCell cell;
 
@@ -104,7 +103,7 @@
 	EXPECT_EQ(owners, 1u);
 }
 
-TEST(Member, CalmTickIsSlowAndRaisedTickFast)
+TEST(Member, GossipIsMoreFrequentWhileATargetIsSuspect)
 {
 	FakeCell cell;
 	uint64_t before;
@@ -120,5 +119,5 @@
 	before = cell.vms[0]->sequence;
 	cell.run(TR_SEC(4));
 	EXPECT_LE(cell.vms[0]->sequence - before, 7u * 3u)
-		<< "calm again once the cell has dealt with it";
+		<< "idle again once the target is ejected";
 }
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -41,19 +41,18 @@
 	}
 };
 
-TEST_F(Membership, AVmThatKnowsNobodyIsAliveAndReads)
+TEST_F(Membership, ALoneVmIsAliveAndReads)
 {
 	EXPECT_EQ(tr_membership_alive(&m, now), 1u);
 	EXPECT_TRUE(tr_membership_is_reader(&m, now));
 }
 
 /*
- * Symptom: VMs that are cut off overrun a limit that the fleet shares.
- * Sequence: they and the others have told each other all some 50 ms, and fall
- * silent for each other. Cause: silence was noticed after the time of routine
- * messages.
+ * Guards against exceeding a fleet-wide limit when some VMs are cut off: VMs
+ * that exchanged messages every 50 ms fall silent for each other. Happens if
+ * silence is noticed only after the period of routine messages.
  */
-TEST_F(Membership, OneThatSpokeOftenIsMissedSoon)
+TEST_F(Membership, AVmThatSentOftenIsMissedSoon)
 {
 	for (uint64_t i = 1; i <= 60; i++) {
 		hear(2, 20, i);
@@ -66,6 +65,7 @@
 	hear(3, 30, 100);
 	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 2.0 / 3);
 	/* One that speaks seldom is missed later. */
+	/* VM 3 sent less often, so it is missed later. */
 	now += TR_MSEC(650);
 	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 2.0 / 3);
 	now += TR_MSEC(100);
@@ -73,9 +73,9 @@
 }
 
 /*
- * Symptom: a restarted VM is taken for its earlier self and then forgotten
- * again. Sequence: a late datagram of before the restart comes after the first
- * one of after it. Cause: of two incarnations the last heard was believed.
+ * Guards against a restarted VM that is taken for its earlier process and then
+ * forgotten: a late datagram from before the restart arrives after the first
+ * one from after it. Happens if the process heard from last is believed.
  */
 TEST_F(Membership, AnEarlierIncarnationDoesNotComeBack)
 {
@@ -102,11 +102,11 @@
 }
 
 /*
- * Symptom: after a herd of VMs is killed, some never see each other again.
- * Sequence: all seeds of a restarted VM are dead. Cause: survivors had
- * forgotten the addresses of the lost.
+ * Guards against VMs that never find each other again after many are killed:
+ * all seeds of a restarted VM are down. Happens if surviving VMs forget the
+ * addresses of the lost.
  */
-TEST_F(Membership, LostVmsAreCalledForEver)
+TEST_F(Membership, LostVmsAreProbedForEver)
 {
 	hear(2, 20, 1);
 	now += TR_SEC(3600);
@@ -120,10 +120,10 @@
 }
 
 /*
- * Symptom: after a restart of all VMs a target that hangs gets a dozen
- * requests. Sequence: each VM sees one of them hang and tells it. Cause: the
- * first totals that a VM told of a target were taken for old ones, also those
- * of a VM that had been heard since its start.
+ * Guards against a target that hangs getting a dozen requests after a restart
+ * of all VMs: each VM sees one of them hang and reports it. Happens if the
+ * first totals that a VM reports for a target count as old even if it was heard
+ * from since its start.
  */
 TEST_F(Membership, FirstTotalsOfAVmHeardFromItsStartAreNews)
 {
@@ -136,7 +136,9 @@
 	EXPECT_TRUE(tr_node_heard_from_start(old, now));
 }
 
-/* What arrives at a VM stays level as the fleet grows. */
+/*
+ * The rate at which a VM receives messages stays constant as the fleet grows.
+ */
 TEST_F(Membership, ThePeriodGrowsWithTheFleet)
 {
 	for (uint32_t ip = 2; ip <= 300; ip++)
@@ -147,7 +149,7 @@
 }
 
 /* All VMs with the same view agree on two readers in two data centres. */
-TEST_F(Membership, ReadersStandInDifferentDataCentres)
+TEST_F(Membership, ReadersAreInDifferentDataCentres)
 {
 	std::vector<std::string> centres;
 
@@ -180,9 +182,9 @@
 }
 
 /*
- * Symptom: the list grows old though most VMs reach the store. Sequence: the
- * store turns the readers away and serves the others. Cause: readers stayed
- * readers while they could not read.
+ * Guards against a list that grows old though most VMs reach the store: the
+ * store refuses the readers and serves the others. Happens if VMs stay readers
+ * while they cannot read.
  */
 TEST_F(Membership, AReaderThatCannotReadIsReplaced)
 {
@@ -191,8 +193,10 @@
 	EXPECT_TRUE(tr_membership_is_reader(&m, now));
 }
 
-/* Guards against the few VMs that are left after a loss of most, which wait for
- * those that are lost to read the store. */
+/*
+ * Guards against the few VMs that remain after the loss of most waiting for the
+ * lost ones to read the store.
+ */
 TEST_F(Membership, ThoseThatHaveFallenSilentDontKeepTheirTurn)
 {
 	for (uint64_t i = 1; i <= 60; i++) {
@@ -209,9 +213,11 @@
 	EXPECT_LE(tr_membership_read_rank(&m, now), 2u);
 }
 
-/* Guards against VMs that leave the reading to others which have just started
- * and wait for a list themselves. */
-TEST_F(Membership, ThoseThatHaveNoListAreNotWaitedFor)
+/*
+ * Guards against VMs that wait for others to read which have just started and
+ * wait for a list themselves.
+ */
+TEST_F(Membership, VmsWithoutAListHaveNoReadRank)
 {
 	for (uint32_t ip = 2; ip <= 60; ip++)
 		hear(ip, ip, 1);
@@ -222,11 +228,11 @@
 }
 
 /*
- * Symptom: while the store is away, the whole fleet calls it. Sequence: the
- * first in the order fail and say so; those after them are first now, call,
- * fail. Cause: the order left out those that could not read.
+ * Guards against the whole fleet calling the store while it is down: the first
+ * VMs in the order fail and report it, those after them are first now, call and
+ * fail. Happens if the order leaves out VMs that could not read.
  */
-TEST_F(Membership, ThoseThatCannotReadKeepTheirTurn)
+TEST_F(Membership, VmsThatFailedToReadKeepTheirRank)
 {
 	unsigned before = 0;
 
@@ -239,9 +245,11 @@
 	EXPECT_EQ(tr_membership_read_rank(&m, now), before);
 }
 
-/* Guards against VMs that take each other's turns, since they are of several
- * minds about their places. */
-TEST_F(Membership, EachHasAPlaceOfItsOwnAmongThoseWithCallers)
+/*
+ * Guards against VMs that act in each other's place because they disagree about
+ * their ranks.
+ */
+TEST_F(Membership, VmsThatTakeCallersHaveDistinctRanks)
 {
 	unsigned vms = 0;
 
--- a/tests/noise_load_test.cc
+++ b/tests/noise_load_test.cc
@@ -1,6 +1,6 @@
 /*
- * Targets that stall now and then and fail a little, under the load of one
- * cell, on a virtual clock: nobody is sick, so nobody is to be ejected.
+ * Targets that stall now and then and fail a few requests, under the load of
+ * one cell on a virtual clock: none is sick, so none may be ejected.
  */
 #include <algorithm>
 #include <cmath>
@@ -12,7 +12,7 @@
 namespace
 {
 
-constexpr apr_time_t TURN = TR_MSEC(10), STEP = TR_MSEC(50);
+constexpr apr_time_t TICK = TR_MSEC(10), STEP = TR_MSEC(50);
 constexpr apr_time_t STALL = TR_MSEC(500), DEADLINE = TR_MSEC(250);
 constexpr unsigned TARGETS = 10;
 
@@ -21,11 +21,14 @@
 	double requests_a_s = 1200;
 	double stall_gap_s = 8;
 	double fail_share = 0.01;
-	/* How often a VM gets no processor, for how long in the mean. */
+	/* How often a VM gets no CPU, and for how long on average. */
 	double vm_stalls_a_s = 0;
 	apr_time_t vm_stall = TR_MSEC(150);
-	/* A VM that wakes looks at its attempts' ages before their answers. */
-	bool judges_first = false;
+	/*
+	 * A VM that resumes checks the age of its attempts before it reads
+	 * answers.
+	 */
+	bool checks_age_first = false;
 };
 
 struct Attempt {
@@ -50,8 +53,11 @@
 		cell.run(settle);
 	}
 
-	/* How many targets were ejected that any VM had in use before. */
-	unsigned play(apr_time_t span)
+	/*
+	 * Returns how many targets were ejected that every VM had in use
+	 * before.
+	 */
+	unsigned simulate(apr_time_t span)
 	{
 		unsigned ejected = 0;
 
@@ -59,9 +65,9 @@
 			unsigned before = cell.out_anywhere();
 			unsigned after;
 
-			for (apr_time_t u = 0; u < STEP; u += TURN) {
-				cell.clock.now += TURN;
-				turn();
+			for (apr_time_t u = 0; u < STEP; u += TICK) {
+				cell.clock.now += TICK;
+				tick();
 			}
 			cell.clock.now -= STEP;
 			cell.step();
@@ -86,7 +92,7 @@
 		return (apr_time_t)(-log(1 - unit()) * mean_s * 1e6);
 	}
 
-	void turn()
+	void tick()
 	{
 		apr_time_t now = cell.clock.now;
 
@@ -97,27 +103,27 @@
 					now + STALL + gap(noise.stall_gap_s);
 			}
 		for (unsigned v = 0; v < cell.vms.size(); v++)
-			turn_of(v, now);
+			tick_vm(v, now);
 	}
 
-	void turn_of(unsigned v, apr_time_t now)
+	void tick_vm(unsigned v, apr_time_t now)
 	{
 		if (busy_until[v] > now)
 			return;
 		if (cell.paused[v])
 			cell.wake(v);
-		if (noise.judges_first)
-			judge(v, now);
+		if (noise.checks_age_first)
+			check_overdue(v, now);
 		read(v, now);
-		judge(v, now);
+		check_overdue(v, now);
 		send(v, now);
-		if (unit() >= noise.vm_stalls_a_s * (double)TURN / 1e6)
+		if (unit() >= noise.vm_stalls_a_s * (double)TICK / 1e6)
 			return;
 		busy_until[v] = now + gap((double)noise.vm_stall / 1e6);
 		cell.paused[v] = true;
 	}
 
-	void judge(unsigned v, apr_time_t now)
+	void check_overdue(unsigned v, apr_time_t now)
 	{
 		FakeVm &vm = *cell.vms[v];
 
@@ -157,7 +163,7 @@
 	{
 		FakeVm &vm = *cell.vms[v];
 		double mean = noise.requests_a_s / (double)cell.vms.size() *
-			      (double)TURN / 1e6;
+			      (double)TICK / 1e6;
 		unsigned n = std::poisson_distribution<unsigned>(mean)(random);
 
 		while (n--) {
@@ -186,7 +192,7 @@
 	unsigned ejected = 0;
 
 	for (noise.seed = 1; noise.seed <= seeds; noise.seed++) {
-		unsigned n = NoisyCell(noise).play(span);
+		unsigned n = NoisyCell(noise).simulate(span);
 
 		if (n)
 			printf("seed %u: %u ejected\n", noise.seed, n);
@@ -196,21 +202,21 @@
 }
 
 /*
- * Symptom: a target that is not sick is ejected. Sequence: it stalls for half a
+ * Guards against ejecting a target that is not sick: it stalls for half a
  * second and is avoided; one to three seconds later it stalls again, or fails
- * one request. Cause: the evidence of the first stall still stood, since an
- * avoided target gets one request a second to prove itself, and "accused for
- * 0.8 s, and failed again" did not ask whether it had answered in between.
- * Evidence: a trace of all 18 ejections, each with such a pair; none when what
- * it got must have failed throughout, and it is tried more often.
+ * one request. Happens if the evidence of the first stall still stands, since
+ * an avoided target gets one request a second, and the check "accused for 0.8
+ * s, and failed again" does not ask whether it answered in between. A trace of
+ * all 18 such ejections showed this pair each time; there was none once every
+ * request had to fail throughout and the target was probed more often.
  */
-TEST(NoiseLoad, NobodyIsEjectedForStalls)
+TEST(NoiseLoad, NoTargetIsEjectedForStalls)
 {
 	EXPECT_EQ(ejected_in({}, 40, TR_SEC(56)), 0u);
 }
 
-/* The same where each VM gets no processor for 150 ms, once a second. */
-TEST(NoiseLoad, NobodyIsEjectedWhileVmsGetNoProcessor)
+/* The same, while each VM gets no CPU for 150 ms about once a second. */
+TEST(NoiseLoad, NoTargetIsEjectedWhileVmsStall)
 {
 	Noise noise;
 
@@ -218,13 +224,15 @@
 	EXPECT_EQ(ejected_in(noise, 40, TR_SEC(56)), 0u);
 }
 
-/* And judges its attempts by their ages before it reads their answers. */
-TEST(NoiseLoad, NobodyIsEjectedByVmsThatJudgeFirst)
+/*
+ * The same, with VMs that check the age of attempts before they read answers.
+ */
+TEST(NoiseLoad, NoTargetIsEjectedIfAgesAreCheckedBeforeAnswers)
 {
 	Noise noise;
 
 	noise.vm_stalls_a_s = 1;
-	noise.judges_first = true;
+	noise.checks_age_first = true;
 	EXPECT_EQ(ejected_in(noise, 40, TR_SEC(56)), 0u);
 }
 
--- a/tests/pacer_test.cc
+++ b/tests/pacer_test.cc
@@ -10,12 +10,12 @@
 {
 
 /*
- * Symptom: a VM that serves three services under faults sends 8.6 KB a second
- * of control, where 7 are allowed. Sequence: targets of each service fail by
- * turns, each raises the pace of its cell to two messages a second and a peer.
- * Cause: nothing looked at what all services of a VM send together.
+ * Guards against a VM that serves three services under faults sending 8.6 KB a
+ * second of control messages where 7 are allowed: targets of each service fail
+ * in turn, and each raises the rate of its cell to two messages a second and
+ * peer. Happens if nothing limits what all services of a VM send together.
  */
-TEST(Pacer, OverTimeNoMoreThanTheRateIsSent)
+TEST(Pacer, NoMoreThanTheRateIsSentOverTime)
 {
 	tr_pacer pacer{};
 	double sent = 0;
@@ -29,7 +29,7 @@
 	EXPECT_LT(sent, 63 * 6000 * 1.02);
 }
 
-TEST(Pacer, WhatHadToGoIsMadeUpFor)
+TEST(Pacer, OverdraftDelaysLaterMessages)
 {
 	tr_pacer pacer{};
 
@@ -39,9 +39,11 @@
 	EXPECT_TRUE(tr_pacer_allows(&pacer, 1000, TR_SEC(3) + TR_MSEC(100)));
 }
 
-/* A peer that has heard nothing for the calm period is told in any case: its
- * leases and its belief that this VM lives hang on that. */
-TEST(Pacer, OverBudgetThePeriodIsTheCalmOne)
+/*
+ * A peer that got nothing for the idle period is sent a message in any case:
+ * its leases depend on it, and so does whether it counts this VM as up.
+ */
+TEST(Pacer, OverBudgetTheIdlePeriodApplies)
 {
 	tr_service svc{};
 	tr_peer peer{};
--- a/tests/permit_test.cc
+++ b/tests/permit_test.cc
@@ -4,7 +4,7 @@
 
 static const apr_time_t settle = TR_VOTE_TTL + TR_ORDER_TTL + TR_SEC(3);
 
-TEST(Permit, OneOwnerThatThreeQuartersVoteFor)
+TEST(Permit, OneOwnerHasThreeQuartersOfTheVotes)
 {
 	FakeCell cell;
 
@@ -13,7 +13,7 @@
 	EXPECT_GE(cell.vms[cell.owner()]->svc->vote.votes, 6u);
 }
 
-TEST(Permit, SickTargetIsOutAtEveryVm)
+TEST(Permit, SickTargetIsEjectedOnEveryVm)
 {
 	FakeCell cell;
 
@@ -24,9 +24,9 @@
 }
 
 /*
- * Symptom: fewer targets in use than the team's floor.
- * Sequence: five of ten targets turn sick together while the floor is eight.
- * Cause: each VM would eject what it sees as sick, without counting.
+ * Guards against fewer targets in use than the floor: four of ten targets
+ * become sick together while the floor is eight. Happens if each VM ejects what
+ * it sees as sick without counting.
  */
 TEST(Floor, HoldsWhenMoreTargetsAreSickThanMayGo)
 {
@@ -42,10 +42,10 @@
 }
 
 /*
- * Symptom: two halves of a split fleet eject different targets; together they
- * leave fewer in use than the floor.
- * Sequence: the cell splits four to four, each half sees other targets fail.
- * Cause: two owners that each spend the whole budget.
+ * Guards against two parts of a split fleet that eject different targets and
+ * together leave fewer in use than the floor: the cell splits four to four, and
+ * each half sees other targets fail. Happens if both halves have an owner that
+ * uses the whole ejection budget.
  */
 TEST(Floor, HoldsOverBothPartsOfASplitFleet)
 {
@@ -66,13 +66,12 @@
 }
 
 /*
- * Symptom: a VM that wakes keeps a target out that all others use again, while
- * they have others out.
- * Sequence: a VM honours an order, is paused for a minute, and wakes with the
- * datagrams of that minute in its buffer.
- * Cause: an order is taken as fresh by the time of its arrival.
+ * Guards against a resumed VM that keeps a target out which all others use
+ * again while they have others out: it follows an order, is paused, and resumes
+ * with the datagrams of that time in its buffer. Happens if the age of an order
+ * is counted from its arrival.
  */
-TEST(Floor, OrdersThatLayInABufferAreVoid)
+TEST(Floor, BufferedOrdersHaveExpired)
 {
 	FakeCell cell;
 	size_t sleeper;
@@ -85,16 +84,15 @@
 	cell.work(TR_SEC(20), [](size_t, unsigned i) { return i == 3; });
 	cell.wake(sleeper);
 	EXPECT_FALSE(cell.vms[sleeper]->out(3))
-		<< "void before the next request is routed";
+		<< "expired before the next request is routed";
 }
 
 /*
- * Symptom: the ejection budget is spent twice.
- * Sequence: the owner is paused; the rest elect another, which ejects; the
- * first wakes and goes on handing out orders.
- * Cause: it still believes in votes that have lapsed meanwhile.
+ * Guards against using the ejection budget twice: the owner is paused, the rest
+ * elect another, which ejects targets, and the first resumes and goes on giving
+ * orders. Happens if it still counts votes that have expired.
  */
-TEST(Floor, AnOwnerThatWakesHasNoVotes)
+TEST(Floor, AResumedOwnerHasNoVotes)
 {
 	FakeCell cell(10, 8);
 	size_t first;
@@ -118,12 +116,12 @@
 }
 
 /*
- * Symptom: two owners at once after a VM was replaced.
- * Sequence: a VM votes, is replaced at once by a new process, which is asked
- * for a vote by another candidate.
- * Cause: the new process knows nothing of the vote and gives a second one.
+ * Guards against two owners after a VM was replaced: it votes, is replaced by a
+ * new process at once, and another candidate asks that process for its vote.
+ * Happens if the new process, which knows nothing of the first vote, gives a
+ * second one.
  */
-TEST(Floor, ANewProcessWaitsBeforeItVotes)
+TEST(Floor, ARestartedProcessWaitsBeforeItVotes)
 {
 	FakeCell cell;
 	size_t voter;
@@ -145,10 +143,9 @@
 }
 
 /*
- * Symptom: after a team raises its floor, targets stay out below it.
- * Sequence: two targets are out under a floor of eight; the floor is raised
- * to ten while they are.
- * Cause: only new ejections are held against the new floor.
+ * Guards against targets that stay out after a team raises its floor: two
+ * targets are out under a floor of eight, which is then raised to ten. Happens
+ * if only new ejections are checked against the new floor.
  */
 TEST(Floor, RaisedFloorBringsTargetsBackAtOnce)
 {
@@ -165,9 +162,9 @@
 }
 
 /*
- * Symptom: a planned stop of some targets leaves fewer than the floor.
- * Sequence: two targets are out; then two others are marked as leaving.
- * Cause: leaving targets are counted as capacity.
+ * Guards against going below the floor when some targets stop as planned: two
+ * targets are out, and then two others are marked as leaving. Happens if
+ * leaving targets count as capacity.
  */
 TEST(Floor, LeavingTargetsCountAsMissing)
 {
@@ -186,9 +183,9 @@
 }
 
 /*
- * Symptom: right after a mass restart healthy targets are ejected on top.
- * Sequence: half the targets come back cold; one of the others looks sick.
- * Cause: cold targets are counted as full capacity.
+ * Guards against ejecting healthy targets right after a mass restart: half the
+ * targets are cold, and one of the others looks sick. Happens if cold targets
+ * count as full capacity.
  */
 TEST(Floor, ColdTargetsCountAsMissing)
 {
@@ -202,7 +199,7 @@
 	EXPECT_EQ(cell.out_anywhere(), 0u);
 	for (auto &vm : cell.vms)
 		EXPECT_TRUE(vm->target(7)->avoided)
-			<< "still the last choice, which costs no capacity";
+			<< "avoided, which costs no capacity";
 }
 
 TEST(Permit, TargetThatRecoversIsUsedAgain)
@@ -222,11 +219,11 @@
 }
 
 /*
- * Symptom: a target that flaps takes work again and again and fails it.
- * Sequence: it recovers on probation, is restored, and fails anew.
- * Cause: the same short hold each time.
+ * Guards against a flapping target that gets requests again and again and fails
+ * them: it recovers on probation, is restored and fails again. Happens if the
+ * hold time is the same each time.
  */
-TEST(Permit, FlappingTargetIsHeldLongerEachTime)
+TEST(Permit, FlappingTargetStaysEjectedLongerEachTime)
 {
 	FakeCell cell;
 	apr_time_t held[2];
@@ -248,11 +245,11 @@
 }
 
 /*
- * Symptom: a target that one data centre can't reach is lost to all.
- * Sequence: VMs of one data centre see it fail, the others see it well.
- * Cause: evidence of all vantages is thrown together.
+ * Guards against losing a target for all VMs that only one data centre cannot
+ * reach: VMs of that data centre see it fail, the others see it succeed.
+ * Happens if the evidence of all vantages is added up.
  */
-TEST(Permit, FailureSeenFromOneDataCentreIsActedOnThereOnly)
+TEST(Permit, FailureSeenFromOneDataCentreEjectsThereOnly)
 {
 	FakeCell cell;
 
--- a/tests/property_test.cc
+++ b/tests/property_test.cc
@@ -11,9 +11,9 @@
 }
 
 /*
- * Properties over arbitrary interleavings. A failing case prints its seed; run
- * it again with RC_PARAMS="reproduce=...". The seed is fixed, so that each run
- * gives the same verdict.
+ * Properties that hold in any order of events. A failing case prints its seed;
+ * run it again with RC_PARAMS="reproduce=...". The seed is fixed, so that every
+ * run gives the same result.
  */
 struct Property : testing::Test {
 	static void SetUpTestSuite()
@@ -27,11 +27,11 @@
 	EXPECT_TRUE(ok) << name;
 }
 
-/* What may befall a cell, one step at a time. */
-enum Act {
+/* Events in a cell. */
+enum Action {
 	FAIL_SOME,
 	PAUSE,
-	WAKE,
+	RESUME,
 	CUT_ONE_WAY,
 	SPLIT,
 	JOIN,
@@ -39,15 +39,15 @@
 	RAISE_FLOOR,
 	LEAVE,
 	WORK,
-	ACTS,
+	ACTION_COUNT,
 };
 
-struct Fate {
+struct Scenario {
 	FakeCell cell{ 10, 8 };
 	std::vector<std::unique_ptr<FakeDocument>> documents;
 	unsigned sick = 0;
 	uint64_t revision = 1;
-	unsigned char life = 50;
+	unsigned char incarnation = 50;
 	unsigned floor = 8;
 	unsigned listed = 10;
 
@@ -76,18 +76,18 @@
 					       entries.data(), 10, revision);
 	}
 
-	void act(int what, unsigned a, unsigned b)
+	void apply(int what, unsigned a, unsigned b)
 	{
 		size_t n = cell.vms.size();
 
-		switch (what % ACTS) {
+		switch (what % ACTION_COUNT) {
 		case FAIL_SOME:
 			sick = a % 5;
 			break;
 		case PAUSE:
 			cell.paused[a % n] = true;
 			break;
-		case WAKE:
+		case RESUME:
 			if (cell.paused[a % n])
 				cell.wake(a % n);
 			break;
@@ -118,11 +118,14 @@
 	void replace(size_t i)
 	{
 		cell.vms[i].reset(new FakeVm(cell.clock, cell.fleet, i,
-					     cell.doc, 10, ++life));
+					     cell.doc, 10, ++incarnation));
 		cell.vms[i]->svc->document_revision = revision;
 	}
 
-	/* Every VM's own view, at every step. */
+	/*
+	 * Returns whether every VM, in its own view, has at least its floor in
+	 * use.
+	 */
 	bool floor_held()
 	{
 		for (auto &vm : cell.vms) {
@@ -140,29 +143,29 @@
 	}
 };
 
-using Acts = std::vector<std::tuple<int, unsigned, unsigned>>;
+using Actions = std::vector<std::tuple<int, unsigned, unsigned>>;
 
-static rc::Gen<Acts> acts_of(size_t count, std::vector<int> kinds)
+static rc::Gen<Actions> random_actions(size_t count, std::vector<int> kinds)
 {
-	return rc::gen::container<Acts>(
+	return rc::gen::container<Actions>(
 		count, rc::gen::tuple(rc::gen::elementOf(kinds),
 				      rc::gen::inRange(0u, 100u),
 				      rc::gen::inRange(0u, 100u)));
 }
 
-/* Befall a cell with the acts in turn; after each, look ten times. */
-template <typename Look>
-static void live_through(Fate &fate, const Acts &acts, apr_time_t between,
-			 Look look)
+/* Applies the actions in turn, and after each runs ten steps with the check. */
+template <typename Check>
+static void run_actions(Scenario &scenario, const Actions &actions,
+			apr_time_t between, Check check)
 {
-	fate.cell.run(TR_SEC(13));
-	for (auto &a : acts) {
-		fate.act(std::get<0>(a), std::get<1>(a), std::get<2>(a));
+	scenario.cell.run(TR_SEC(13));
+	for (auto &a : actions) {
+		scenario.apply(std::get<0>(a), std::get<1>(a), std::get<2>(a));
 		for (int s = 0; s < 10; s++) {
-			fate.cell.work(between, [&](size_t v, unsigned i) {
-				return (i + v / 4) % 10 < fate.sick;
+			scenario.cell.work(between, [&](size_t v, unsigned i) {
+				return (i + v / 4) % 10 < scenario.sick;
 			});
-			look();
+			check();
 		}
 	}
 }
@@ -170,27 +173,31 @@
 TEST_F(Property, NoVmEverGoesBelowItsFloor)
 {
 	holds("floor at each VM", rc::check([] {
-		      auto acts = *acts_of(
-			      12, { FAIL_SOME, PAUSE, WAKE, CUT_ONE_WAY, SPLIT,
-				    JOIN, REPLACE, RAISE_FLOOR, LEAVE, WORK });
-		      Fate fate;
-
-		      live_through(fate, acts, TR_MSEC(100),
-				   [&] { RC_ASSERT(fate.floor_held()); });
+		      auto actions = *random_actions(
+			      12,
+			      { FAIL_SOME, PAUSE, RESUME, CUT_ONE_WAY, SPLIT,
+				JOIN, REPLACE, RAISE_FLOOR, LEAVE, WORK });
+		      Scenario scenario;
+
+		      run_actions(scenario, actions, TR_MSEC(100),
+				  [&] { RC_ASSERT(scenario.floor_held()); });
 	      }));
 }
 
-/* Out anywhere, with a fixed floor and list: what the owner must keep. */
+/*
+ * Targets that are out at any VM, with a fixed floor and list: what the owner
+ * must bound.
+ */
 TEST_F(Property, BudgetIsNeverOverspentOverTheFleet)
 {
 	holds("budget over the fleet", rc::check([] {
-		      auto acts = *acts_of(15, { FAIL_SOME, PAUSE, WAKE,
-						 CUT_ONE_WAY, SPLIT, JOIN,
-						 REPLACE });
-		      Fate fate;
+		      auto actions = *random_actions(
+			      15, { FAIL_SOME, PAUSE, RESUME, CUT_ONE_WAY,
+				    SPLIT, JOIN, REPLACE });
+		      Scenario scenario;
 
-		      live_through(fate, acts, TR_MSEC(200), [&] {
-			      RC_ASSERT(fate.cell.out_anywhere() <= 2u);
+		      run_actions(scenario, actions, TR_MSEC(200), [&] {
+			      RC_ASSERT(scenario.cell.out_anywhere() <= 2u);
 		      });
 	      }));
 }
@@ -215,7 +222,7 @@
 	      }));
 }
 
-TEST_F(Property, KeysAreSentAtMostOnceWhateverTheOrder)
+TEST_F(Property, KeysAreSentAtMostOnceInAnyOrder)
 {
 	ASSERT_GE(sodium_init(), 0);
 	holds("at most once", rc::check([](std::vector<uint8_t> steps) {
@@ -247,6 +254,7 @@
 				      continue;
 			      tr_dispatcher_sent(&d, record);
 			      /* What may have run must never be sent again. */
+			      /* A request that may have run is never resent. */
 			      RC_ASSERT(unknown_sends[k] == 0u);
 			      if (step / 8 % 3 == 0) {
 				      tr_dispatcher_finish(&d, record,
@@ -295,7 +303,7 @@
 	      }));
 }
 
-TEST_F(Property, LookupMovesLittleWhenAVmGoes)
+TEST_F(Property, CellChangesByOneWhenAVmLeaves)
 {
 	holds("cells", rc::check([] {
 		      unsigned each = *rc::gen::inRange(3u, 12u);
--- a/tests/result_test.cc
+++ b/tests/result_test.cc
@@ -62,7 +62,7 @@
 		EXPECT_TRUE(numbers.insert(r.number).second) << r.number;
 }
 
-TEST(Result, HundredsSayTheOutcome)
+TEST(Result, HundredsGiveTheOutcome)
 {
 	for (const Row &r : rows) {
 		tr_outcome want = TR_OUTCOME_NONE;
--- a/tests/service_test.cc
+++ b/tests/service_test.cc
@@ -23,7 +23,7 @@
 	}
 };
 
-TEST_F(Service, FullTargetsAreBusyAndNotGone)
+TEST_F(Service, PickReportsBusyWhenAllSlotsAreTaken)
 {
 	for (int i = 0; i < 30; i++) {
 		tr_target *t = pick();
@@ -35,14 +35,14 @@
 	EXPECT_EQ(kind, TR_PICK_BUSY);
 }
 
-TEST_F(Service, NoTargetListedIsNothing)
+TEST_F(Service, PickReportsNoneWithoutTargets)
 {
 	tr_service_set_targets(vm.board.get(), vm.svc, nullptr, 0, 2);
 	EXPECT_EQ(pick(), nullptr);
 	EXPECT_EQ(kind, TR_PICK_NONE);
 }
 
-TEST_F(Service, SlotsOfOwnAreFilledFirst)
+TEST_F(Service, HomeSlotsAreFilledFirst)
 {
 	unsigned home = 0;
 
@@ -57,26 +57,25 @@
 	}
 }
 
-TEST_F(Service, SlotsAreDealtOutOnce)
+TEST_F(Service, EverySlotIsAssignedToOneVm)
 {
-	unsigned cell_sum = 0;
+	unsigned total = 0;
 
 	for (size_t m = 0; m < fleet.size(); m++) {
 		FakeVm other(clock, fleet, m, doc, 10);
 
 		for (unsigned i = 0; i < 10; i++)
-			cell_sum += other.target(i)->home_slots;
+			total += other.target(i)->home_slots;
 	}
-	EXPECT_EQ(cell_sum, 30u);
+	EXPECT_EQ(total, 30u);
 }
 
 /*
- * Symptom: a stop of a target that was announced fails requests.
- * Sequence: the target answers with the word that it is leaving; the list
- * does not say so yet.
- * Cause: only the published list is believed.
+ * Guards against requests that fail when a target stops as planned: the target
+ * announces in an answer that it is leaving, before the published list says so.
+ * Happens if only the list is used.
  */
-TEST_F(Service, LeavingTargetGetsNoNewWorkFromItsFirstWord)
+TEST_F(Service, TargetThatAnnouncesLeavingGetsNoNewRequests)
 {
 	tr_target_announce_leaving(vm.board.get(), vm.svc, vm.target(4));
 	for (int i = 0; i < 200; i++) {
@@ -91,7 +90,7 @@
 	}
 }
 
-TEST_F(Service, AvoidedTargetIsTheLastChoiceButStaysOne)
+TEST_F(Service, AvoidedTargetIsUsedOnlyWhenOthersAreFull)
 {
 	std::vector<tr_target *> picked;
 
@@ -107,7 +106,7 @@
 	EXPECT_EQ(pick(), vm.target(2));
 }
 
-TEST_F(Service, SuspectGetsATrickleOfIdempotentWorkOnly)
+TEST_F(Service, SuspectTargetIsProbedWithIdempotentRequestsOnly)
 {
 	vm.target(2)->avoided = true;
 	vm.target(2)->probe_interval = TR_SEC(1);
@@ -119,7 +118,8 @@
 	tr_attempt_end(vm.board.get(), vm.svc, vm.target(2), 0,
 		       TR_ATTEMPT_TIMED_OUT, clock.now - TR_SEC(2), false,
 		       clock.now);
-	EXPECT_NE(pick(true), vm.target(2)) << "not before the gap is over";
+	EXPECT_NE(pick(true), vm.target(2))
+		<< "not before the interval has passed";
 }
 
 TEST_F(Service, TriedTargetsAreNotTriedAgain)
@@ -144,7 +144,7 @@
 	EXPECT_LE(vm.target(0)->cold_until, clock.now);
 }
 
-TEST_F(Service, OlderTargetsAndDocumentsAreNotTaken)
+TEST_F(Service, OlderTargetsAndDocumentsAreIgnored)
 {
 	FakeDocument old(4, 2);
 
@@ -169,7 +169,7 @@
 	EXPECT_EQ(held.revision, 5u);
 }
 
-TEST(Event, RingKeepsTheNewestAndOrder)
+TEST(Event, RingKeepsTheNewestEventsInOrder)
 {
 	static tr_event_ring ring;
 
@@ -182,10 +182,10 @@
 		EXPECT_LT(tr_hlc_compare(tr_event_get(&ring, i - 1)->when,
 					 tr_event_get(&ring, i)->when),
 			  0)
-			<< "a wall clock that goes back does not reorder";
+			<< "order holds though the wall clock goes back";
 }
 
-TEST(Event, MergedClockIsAfterWhatWasHeard)
+TEST(Event, MergedClockIsAfterTheReceivedTime)
 {
 	tr_hlc mine{};
 	tr_hlc heard = { 5000, 3 };
@@ -197,12 +197,11 @@
 }
 
 /*
- * Symptom: in noise a dead target goes on getting work.
- * Sequence: short stalls have most targets avoided for some seconds; one of
- * them dies.
- * Cause: cell_sum that are avoided are taken for equally bad.
+ * Guards against a target that is down and still gets requests under noise:
+ * short stalls make most targets avoided for some seconds, and one of them goes
+ * down. Happens if all avoided targets are treated as equally bad.
  */
-TEST_F(Service, OfAvoidedTargetsTheLeastSuspectIsUsed)
+TEST_F(Service, OfAvoidedTargetsTheOneWithLeastEvidenceIsUsed)
 {
 	for (unsigned i = 0; i < 10; i++) {
 		vm.target(i)->avoided = true;
@@ -216,5 +215,5 @@
 		EXPECT_NE(t, vm.target(7));
 		tr_attempt_begin(vm.svc, t, kind, clock.now);
 	}
-	EXPECT_EQ(pick(), vm.target(7)) << "it is still a choice";
+	EXPECT_EQ(pick(), vm.target(7)) << "used when all others are full";
 }
