--- a/lib/board.h
+++ b/lib/board.h
@@ -60,7 +60,7 @@
 	uint32_t vantages;
 	apr_time_t since;
 	apr_time_t hold_until;	/* when probation starts */
-	apr_time_t lease_until; /* when the last VM told must have dropped it */
+	apr_time_t lease_until; /* when it has expired at every VM */
 };
 
 /* State of a baseline detector for one target; every VM has its own. */
--- a/lib/event.c
+++ b/lib/event.c
@@ -46,11 +46,11 @@
 /* Returns the event kind's name in the output, such as "peer-up". */
 const char *tr_event_name(enum tr_event_kind kind)
 {
-	static const char *const words[] = {
-#define TR_EVENT_WORD(name, word) word,
-		TR_EVENTS(TR_EVENT_WORD)
-#undef TR_EVENT_WORD
+	static const char *const names[] = {
+#define TR_EVENT_NAME(name, text) text,
+		TR_EVENTS(TR_EVENT_NAME)
+#undef TR_EVENT_NAME
 	};
 
-	return words[kind];
+	return names[kind];
 }
--- a/lib/event.h
+++ b/lib/event.h
@@ -35,7 +35,7 @@
 	X(FAULT, "fault-injected")
 
 enum tr_event_kind {
-#define TR_EVENT_ENUM(name, word) TR_EVENT_##name,
+#define TR_EVENT_ENUM(name, text) TR_EVENT_##name,
 	TR_EVENTS(TR_EVENT_ENUM)
 #undef TR_EVENT_ENUM
 };
--- a/lib/evidence.c
+++ b/lib/evidence.c
@@ -307,7 +307,7 @@
 }
 
 /*
- * Number of VMs that used a target lately, and of those with evidence against
+ * Number of VMs that recently used a target, and of those with evidence against
  * it.
  */
 struct vote_count {
--- a/lib/member.c
+++ b/lib/member.c
@@ -208,6 +208,6 @@
 		tr_board_event(board,
 			       up ? TR_EVENT_PEER_UP : TR_EVENT_PEER_DOWN,
 			       svc->name, peer->name, "%s",
-			       up ? "messages arrive" : "no messages");
+			       up ? "heard again" : "silent");
 	}
 }
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -192,55 +192,55 @@
  * *restarted: it is the first of a new process, so earlier reports are void.
  */
 struct tr_node *tr_membership_receive(struct tr_membership *m,
-				      const struct tr_node_status *news,
+				      const struct tr_node_status *status,
 				      apr_time_t now, bool *restarted)
 {
-	struct tr_node *node = tr_membership_find_or_add(m, news->ip);
+	struct tr_node *node = tr_membership_find_or_add(m, status->ip);
 
 	*restarted = false;
-	if (node == m->nodes || is_retired(node, news->boot))
+	if (node == m->nodes || is_retired(node, status->boot))
 		return NULL;
-	if (node->boot == news->boot && news->sequence <= node->sequence)
+	if (node->boot == status->boot && status->sequence <= node->sequence)
 		return NULL;
-	if (node->boot != news->boot) {
+	if (node->boot != status->boot) {
 		node->retired[node->retired_next] = node->boot;
 		node->retired_next =
 			(node->retired_next + 1) % TR_RETIRED_BOOTS;
-		node->boot = news->boot;
-		node->first_sequence = news->sequence;
+		node->boot = status->boot;
+		node->first_sequence = status->sequence;
 		node->boot_heard_at = now;
 		*restarted = true;
 	}
-	node->sequence = news->sequence;
-	node->ready = news->ready;
-	node->leaving = news->leaving;
-	node->cannot_read = news->cannot_read;
-	memcpy(node->held, news->held, sizeof(node->held));
+	node->sequence = status->sequence;
+	node->ready = status->ready;
+	node->leaving = status->leaving;
+	node->cannot_read = status->cannot_read;
+	memcpy(node->held, status->held, sizeof(node->held));
 	if (!*restarted && node->heard_at)
 		node->gap += (now - node->heard_at - node->gap) / GAP_WEIGHT;
 	else
 		node->gap = PERIOD_MIN;
 	node->heard_at = now;
-	node->proven_at = news->proof_age < 0 ? 0 : now - news->proof_age;
+	node->proven_at = status->proof_age < 0 ? 0 : now - status->proof_age;
 	m->heard_any = true;
-	set_data_centre(m, node, news->data_centre);
-	update_size(m, news->fleet_size);
+	set_data_centre(m, node, status->data_centre);
+	update_size(m, status->fleet_size);
 	return node;
 }
 
 /* Applies the state of a VM of another group from that group's summary. */
 void tr_membership_receive_indirect(struct tr_membership *m,
-				    const struct tr_node_status *news,
+				    const struct tr_node_status *status,
 				    apr_time_t now)
 {
-	struct tr_node *node =
-		tr_membership_find_or_add_at(m, news->ip, news->data_centre);
+	struct tr_node *node = tr_membership_find_or_add_at(
+		m, status->ip, status->data_centre);
 
 	if (node->near)
 		return;
-	node->ready = news->ready;
-	node->leaving = news->leaving;
-	node->cannot_read = news->cannot_read;
+	node->ready = status->ready;
+	node->leaving = status->leaving;
+	node->cannot_read = status->cannot_read;
 	node->heard_at = now;
 }
 
--- a/lib/membership.h
+++ b/lib/membership.h
@@ -147,7 +147,7 @@
 					     uint32_t ip,
 					     const char *data_centre);
 void tr_membership_receive_indirect(struct tr_membership *m,
-				    const struct tr_node_status *news,
+				    const struct tr_node_status *status,
 				    apr_time_t now);
 unsigned tr_membership_size(const struct tr_membership *m);
 struct tr_report *tr_node_report(struct tr_node *node, uint32_t target);
@@ -156,7 +156,7 @@
 struct tr_limit_report *tr_node_limit_report(struct tr_node *node,
 					     uint32_t name);
 struct tr_node *tr_membership_receive(struct tr_membership *m,
-				      const struct tr_node_status *news,
+				      const struct tr_node_status *status,
 				      apr_time_t now, bool *restarted);
 apr_time_t tr_membership_period(const struct tr_membership *m, apr_time_t now);
 bool tr_node_alive(const struct tr_membership *m, const struct tr_node *node,
--- a/lib/permit.c
+++ b/lib/permit.c
@@ -80,7 +80,6 @@
 		return false;
 	if (for_vm != tr_permit_candidate(board, svc, now))
 		return false;
-	/* Who votes for another gives no more orders, from this very moment. */
 	/* Voting for another VM ends this VM's ownership at once. */
 	if (vote->owner && for_vm != board->vm_id)
 		lose_ownership(board, svc);
--- a/tests/evidence_test.cc
+++ b/tests/evidence_test.cc
@@ -277,7 +277,6 @@
 	tr_evidence_add(&ev, &bad, 0.01, TR_SEC(7));
 	before = ev.cell_sum;
 	tr_evidence_add(&ev, &late, 0.01, TR_SEC(7));
-	/* Of six seconds, what is older than a tick and a bit counts little. */
 	/* Most of the six seconds of successes are from before the fault. */
 	EXPECT_GT(ev.cell_sum, before * 0.75);
 	tr_evidence_add(&ev, &fresh, 0.01, TR_SEC(7) + TR_MSEC(400));
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -27,16 +27,16 @@
 	tr_node *hear(uint32_t ip, uint64_t boot, uint64_t sequence,
 		      const char *centre = "dc-1", bool *restarted = nullptr)
 	{
-		tr_node_status news{};
+		tr_node_status status{};
 		bool ignored;
 
-		news.ip = ip;
-		news.boot = boot;
-		news.sequence = sequence;
-		news.data_centre = centre;
-		news.ready = true;
-		news.held[TR_RESOURCE_LIST] = 1;
-		return tr_membership_receive(&m, &news, now,
+		status.ip = ip;
+		status.boot = boot;
+		status.sequence = sequence;
+		status.data_centre = centre;
+		status.ready = true;
+		status.held[TR_RESOURCE_LIST] = 1;
+		return tr_membership_receive(&m, &status, now,
 					     restarted ? restarted : &ignored);
 	}
 };
@@ -64,7 +64,6 @@
 	now += TR_MSEC(250);
 	hear(3, 30, 100);
 	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 2.0 / 3);
-	/* One that speaks seldom is missed later. */
 	/* VM 3 sent less often, so it is missed later. */
 	now += TR_MSEC(650);
 	EXPECT_DOUBLE_EQ(tr_membership_recent_share(&m, now), 2.0 / 3);
@@ -155,7 +154,7 @@
 
 	for (uint32_t me = 1; me <= 16; me++) {
 		tr_membership v{};
-		tr_node_status news{};
+		tr_node_status status{};
 		bool restarted;
 		auto centre = [](uint32_t ip) {
 			return "dc-" + std::to_string(ip % 4);
@@ -167,11 +166,11 @@
 
 			if (ip == me)
 				continue;
-			news.ip = ip;
-			news.boot = ip;
-			news.sequence = 1;
-			news.data_centre = name.c_str();
-			tr_membership_receive(&v, &news, now, &restarted);
+			status.ip = ip;
+			status.boot = ip;
+			status.sequence = 1;
+			status.data_centre = name.c_str();
+			tr_membership_receive(&v, &status, now, &restarted);
 		}
 		if (tr_membership_is_reader(&v, now))
 			centres.push_back(centre(me));
--- a/tests/property_test.cc
+++ b/tests/property_test.cc
@@ -253,7 +253,6 @@
 						      now, &record) != TR_OK)
 				      continue;
 			      tr_dispatcher_sent(&d, record);
-			      /* What may have run must never be sent again. */
 			      /* A request that may have run is never resent. */
 			      RC_ASSERT(unknown_sends[k] == 0u);
 			      if (step / 8 % 3 == 0) {
