--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -211,8 +211,8 @@
 	if (tr_groups_count_alive(m, now) && m->groups_count > 1)
 		log_groups(m);
 	find_homes(mesh);
-	if (!mesh->e->ready || now - mesh->called_at >= CALL_EVERY) {
-		mesh->called_at = now;
+	if (!mesh->e->ready || now - mesh->probed_at >= CALL_EVERY) {
+		mesh->probed_at = now;
 		mesh_call_lost(mesh, now);
 		mesh_forget_lost(mesh, now);
 	}
--- a/entry/mesh_call.c
+++ b/entry/mesh_call.c
@@ -41,7 +41,7 @@
 
 		if (!lost)
 			return;
-		lost->called_at = now;
+		lost->probed_at = now;
 		mesh_call_one(mesh, lost->ip, false);
 	}
 }
--- a/entry/mesh_internal.h
+++ b/entry/mesh_internal.h
@@ -61,7 +61,7 @@
 	uint32_t state_next;
 	uint32_t node_next;
 	uint32_t homes_of;
-	apr_time_t called_at;
+	apr_time_t probed_at;
 	apr_time_t away_reported_at;
 	apr_time_t summary_at;
 	struct tr_list_check list_check;
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -425,7 +425,7 @@
 	for (unsigned i = 1; i < m->count; i++) {
 		struct tr_node *node = &m->nodes[i];
 
-		if (now - node->called_at < gap ||
+		if (now - node->probed_at < gap ||
 		    (!node->near && *node->data_centre) ||
 		    tr_node_alive(m, node, now))
 			continue;
--- a/lib/membership.h
+++ b/lib/membership.h
@@ -73,7 +73,7 @@
 	char data_centre[TR_ID_MAX + 1];
 	apr_time_t heard_at;
 	apr_time_t gap; /* mean time between two of its messages */
-	apr_time_t called_at;
+	apr_time_t probed_at;
 	bool seed;
 	bool ready;
 	bool leaving;
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -198,7 +198,7 @@
 
 	view.now += TR_SEC(60);
 	while (tr_node *lost = tr_membership_next_lost(&view.m, view.now)) {
-		lost->called_at = view.now;
+		lost->probed_at = view.now;
 		called.insert(lost->ip);
 	}
 	std::set<uint32_t> others = view.near();
--- a/tests/membership_test.cc
+++ b/tests/membership_test.cc
@@ -112,7 +112,7 @@
 	tr_node *lost = tr_membership_next_lost(&m, now);
 	ASSERT_NE(lost, nullptr);
 	EXPECT_EQ(lost->ip, 2u);
-	lost->called_at = now;
+	lost->probed_at = now;
 	EXPECT_EQ(tr_membership_next_lost(&m, now), nullptr);
 	now += TR_SEC(2);
 	EXPECT_NE(tr_membership_next_lost(&m, now), nullptr);
