--- a/lib/dispatch.c
+++ b/lib/dispatch.c
@@ -156,7 +156,7 @@
 
 /*
  * Returns whether a request with this key may be sent now. TR_OK: it may, and
- * *record is its record, to be passed to tr_dispatcher_sent() and
+ * *record is its record, to be passed to tr_dispatcher_mark_sent() and
  * tr_dispatcher_finish(). TR_ANSWERED: it has run, and *record holds the
  * answer. Any other code is the final result of this call. idempotency_key is
  * the hash of the caller's own key, or 0.
@@ -199,7 +199,7 @@
  * Marks the request as sent; call before its first byte is written. From then
  * on, only an answer or proof that it did not run settles it.
  */
-void tr_dispatcher_sent(struct tr_dispatcher *d, uint32_t record)
+void tr_dispatcher_mark_sent(struct tr_dispatcher *d, uint32_t record)
 {
 	if (d->records[record].state == TR_DISPATCH_ADMITTED)
 		d->records[record].state = TR_DISPATCH_SENT;
--- a/lib/dispatch.h
+++ b/lib/dispatch.h
@@ -71,7 +71,7 @@
 				   uint64_t fingerprint,
 				   uint64_t idempotency_key, apr_time_t now,
 				   uint32_t *record);
-void tr_dispatcher_sent(struct tr_dispatcher *d, uint32_t record);
+void tr_dispatcher_mark_sent(struct tr_dispatcher *d, uint32_t record);
 void tr_dispatcher_finish(struct tr_dispatcher *d, uint32_t record,
 			  enum tr_outcome outcome, int http_status,
 			  const char *content_type, const char *answer,
--- a/lib/permit.c
+++ b/lib/permit.c
@@ -21,8 +21,8 @@
  * with the highest rendezvous score among the VMs of the cell that are up and
  * receive this VM's messages. 0 if there is none.
  */
-uint64_t tr_permit_candidate(const struct tr_board *board,
-			     const struct tr_service *svc, apr_time_t now)
+uint64_t tr_permit_owner_candidate(const struct tr_board *board,
+				   const struct tr_service *svc, apr_time_t now)
 {
 	uint64_t best = board->leaving ? 0 : board->vm_id;
 	uint64_t score = best ? tr_hash_pair(svc->id, best) : 0;
@@ -78,7 +78,7 @@
 		return false;
 	if (vote->for_vm != for_vm && vote->until > now)
 		return false;
-	if (for_vm != tr_permit_candidate(board, svc, now))
+	if (for_vm != tr_permit_owner_candidate(board, svc, now))
 		return false;
 	/* Voting for another VM ends this VM's ownership at once. */
 	if (vote->owner && for_vm != board->vm_id)
--- a/lib/permit.h
+++ b/lib/permit.h
@@ -10,8 +10,9 @@
 
 struct tr_gossip;
 
-uint64_t tr_permit_candidate(const struct tr_board *board,
-			     const struct tr_service *svc, apr_time_t now);
+uint64_t tr_permit_owner_candidate(const struct tr_board *board,
+				   const struct tr_service *svc,
+				   apr_time_t now);
 bool tr_permit_vote(struct tr_board *board, struct tr_service *svc,
 		    uint64_t for_vm, apr_time_t now);
 void tr_permit_receive_vote(struct tr_service *svc, struct tr_peer *peer,
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -35,7 +35,8 @@
 	if (r->attempt.issued++)
 		return CURL_PREREQFUNC_ABORT;
 	if (r->record != TR_NO_RECORD)
-		tr_dispatcher_sent(&r->proxy->board->dispatcher, r->record);
+		tr_dispatcher_mark_sent(&r->proxy->board->dispatcher,
+					r->record);
 	return CURL_PREREQFUNC_OK;
 }
 
--- a/tests/dispatch_test.cc
+++ b/tests/dispatch_test.cc
@@ -69,7 +69,7 @@
 	uint32_t record;
 
 	ASSERT_EQ(admit(key, &record), TR_OK);
-	tr_dispatcher_sent(&d, record);
+	tr_dispatcher_mark_sent(&d, record);
 	EXPECT_EQ(admit(key), TR_KEY_RUNNING);
 	finish(record, TR_OUTCOME_ANSWERED, "done");
 	EXPECT_EQ(admit(key, &record), TR_ANSWERED);
@@ -87,7 +87,7 @@
 	uint32_t record;
 
 	ASSERT_EQ(admit(key, &record), TR_OK);
-	tr_dispatcher_sent(&d, record);
+	tr_dispatcher_mark_sent(&d, record);
 	finish(record, TR_OUTCOME_UNKNOWN);
 	EXPECT_EQ(admit(key), TR_KEY_SPENT);
 	EXPECT_EQ(tr_result_outcome(TR_KEY_SPENT), TR_OUTCOME_UNKNOWN);
@@ -99,7 +99,7 @@
 	uint32_t record;
 
 	ASSERT_EQ(admit(key, &record), TR_OK);
-	tr_dispatcher_sent(&d, record);
+	tr_dispatcher_mark_sent(&d, record);
 	finish(record, TR_OUTCOME_NOT_RUN);
 	EXPECT_EQ(admit(key, &record), TR_OK);
 }
@@ -143,7 +143,7 @@
 	uint32_t record;
 
 	ASSERT_EQ(admit(key, &record), TR_OK);
-	tr_dispatcher_sent(&d, record);
+	tr_dispatcher_mark_sent(&d, record);
 	now += TR_SEC(500);
 	tr_dispatcher_sweep(&d, now, 16);
 	EXPECT_EQ(d.used, 1u);
@@ -160,7 +160,7 @@
 	uint32_t record;
 
 	ASSERT_EQ(admit(first, &record), TR_OK);
-	tr_dispatcher_sent(&d, record);
+	tr_dispatcher_mark_sent(&d, record);
 	finish(record, TR_OUTCOME_UNKNOWN);
 	for (int i = 1; i < 16; i++)
 		ASSERT_EQ(admit(mint()), TR_OK);
@@ -178,7 +178,7 @@
 	uint32_t record;
 
 	ASSERT_EQ(admit(mint(), &record, 1, 77), TR_OK);
-	tr_dispatcher_sent(&d, record);
+	tr_dispatcher_mark_sent(&d, record);
 	EXPECT_EQ(admit(mint(), nullptr, 1, 77), TR_KEY_RUNNING);
 	finish(record, TR_OUTCOME_ANSWERED, "x");
 	EXPECT_EQ(admit(mint(), nullptr, 1, 77), TR_ANSWERED);
--- a/tests/property_test.cc
+++ b/tests/property_test.cc
@@ -252,7 +252,7 @@
 			      if (tr_dispatcher_admit(&d, &keys[k], 1, 1, 0,
 						      now, &record) != TR_OK)
 				      continue;
-			      tr_dispatcher_sent(&d, record);
+			      tr_dispatcher_mark_sent(&d, record);
 			      /* A request that may have run is never resent. */
 			      RC_ASSERT(unknown_sends[k] == 0u);
 			      if (step / 8 % 3 == 0) {
