--- a/lib/detector.c
+++ b/lib/detector.c
@@ -112,7 +112,7 @@
 }
 
 /*
- * Returns whether max targets fail for this VM but not for its peers, which
+ * Returns whether most targets fail for this VM but not for its peers, which
  * means that the fault is in this VM or its network path. Peers then ignore its
  * reports, since it would otherwise accuse every target.
  */
