--- a/lib/detector.c
+++ b/lib/detector.c
@@ -266,7 +266,7 @@
 		       board->suspects_itself ? TR_EVENT_SUSPECT_SELF
 					      : TR_EVENT_TRUST_SELF,
 		       svc->name, board->vm_name,
-		       "most targets fail from here only");
+		       "most targets fail from this VM only");
 }
 
 /* The baseline detectors: what common proxies do, on each VM alone. */
