--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -150,8 +150,8 @@
 		{ "peer_pulls_total", c->pulls },
 		{ "peer_pulls_failed_total", c->pulls_failed },
 		{ "routes_late",
-		  tr_spread_newest(&e->members, TR_RESOURCE_ROUTES,
-				   entry_now(e)) >
+		  tr_spread_newest_revision(&e->members, TR_RESOURCE_ROUTES,
+					    entry_now(e)) >
 			  (e->routes ? e->routes->revision : 0) },
 		{ "store_targets_refused_total", c->targets_refused },
 		{ "fleet_vms", tr_membership_size(&e->members) },
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -75,7 +75,7 @@
 	for (unsigned i = 0; o && i < o->count; i++) {
 		struct tr_organisation *row = &o->rows[i];
 
-		row->known_as = tr_limits_place(&e->limits, row->name);
+		row->known_as = tr_limits_find_or_add(&e->limits, row->name);
 		tr_limit_set(&e->limits.rows[row->known_as], row->rate,
 			     row->burst, entry_now(e));
 	}
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -51,7 +51,7 @@
 	return NULL;
 }
 
-static enum tr_place_result choose(struct exchange *x, struct tr_placing *p)
+static enum tr_place_result choose(struct exchange *x, struct tr_placement *p)
 {
 	const struct entry *e = x->e;
 	apr_time_t now = entry_now(e);
@@ -62,7 +62,7 @@
 		.service = x->service,
 		.usual = exchange_usual(x),
 		.spread = tr_service_stats_spread(svc),
-		.fail_age = tr_service_stats_failure_age(svc, aim),
+		.failure_age = tr_service_stats_failure_age(svc, aim),
 		.standing_queue = svc->standing_queue,
 		.may_repeat = x->route->kind == TR_KIND_SAFE &&
 			      x->runs + 1 < x->route->attempts,
@@ -82,13 +82,13 @@
 	req.turns.rank = tr_membership_rank(&e->members, now, &req.turns.vms);
 	res = tr_place(&e->roster, &req, &x->e->random, now, p);
 	if (res != TR_PLACE_NONE_KNOWN)
-		tr_service_stats_track_queue(svc, p->least_takes, aim, now);
+		tr_service_stats_track_queue(svc, p->shortest_time, aim, now);
 	return res;
 }
 
 /* Behind other work nobody knows when the answer is due: it is not called late
  * sooner than work with an exponential tail is. */
-static double spread_at(const struct exchange *x, const struct tr_placing *p)
+static double spread_at(const struct exchange *x, const struct tr_placement *p)
 {
 	double spread =
 		tr_service_stats_spread(&x->e->roster.services[x->service]);
@@ -96,7 +96,7 @@
 	return p->wait && spread < QUEUED_SPREAD ? QUEUED_SPREAD : spread;
 }
 
-static int send_to(struct exchange *x, const struct tr_placing *p)
+static int send_to(struct exchange *x, const struct tr_placement *p)
 {
 	struct entry *e = x->e;
 	const struct tr_instance *row = &e->roster.rows[p->row];
@@ -135,7 +135,7 @@
 const char *exchange_send(struct exchange *x)
 {
 	enum tr_fatal_verdict verdict;
-	struct tr_placing p;
+	struct tr_placement p;
 
 	/* The proof may have ended while the request waited. */
 	if (x->keyed && !entry_vouches(x->e))
@@ -185,7 +185,7 @@
 	const struct tr_roster *roster = &x->e->roster;
 	double risk = tr_gray_probability(&roster->rows[u->row].gray,
 					  entry_now(x->e));
-	struct tr_placing p;
+	struct tr_placement p;
 
 	if (!tr_mechanism_on(TR_MECH_SECONDING))
 		return;
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -178,8 +178,8 @@
  * stand in it; a caller that is told 404 would not come back. */
 bool exchange_is_late(const struct entry *e)
 {
-	uint64_t newest =
-		tr_spread_newest(&e->members, TR_RESOURCE_ROUTES, entry_now(e));
+	uint64_t newest = tr_spread_newest_revision(
+		&e->members, TR_RESOURCE_ROUTES, entry_now(e));
 
 	return newest > e->routes->revision && newest > e->refused_revision;
 }
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -33,8 +33,8 @@
 	if (!o)
 		return;
 	caller->counted = true;
-	tr_limit_came(&e->limits.rows[o->known_as], &e->limit_bound,
-		      entry_now(e));
+	tr_limit_arrived(&e->limits.rows[o->known_as], &e->limit_bound,
+			 entry_now(e));
 	mesh_tell_soon(e->mesh);
 }
 
@@ -57,9 +57,9 @@
 		 "burst=%g group_rate=%.1f part=%.3f heard=%.3f used=%.1f",
 		 message_header(&caller->in, e->dialect->request_id),
 		 organisation->name, l->rate, l->burst, tr_limit_demand(l, now),
-		 tr_limit_part(l, now), heard.share, tr_limit_used(l));
+		 tr_limit_group_share(l, now), heard.share, tr_limit_used(l));
 	exchange_refuse(caller, 429,
-			tr_limit_return_after(l, &e->limit_bound, &e->random));
+			tr_limit_retry_after(l, &e->limit_bound, &e->random));
 	return false;
 }
 
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -143,8 +143,8 @@
 			.heard = exchange_heard(x),
 		};
 
-		after = tr_place_return_after(&e->roster, &req, &e->random,
-					      entry_now(e));
+		after = tr_place_retry_after(&e->roster, &req, &e->random,
+					     entry_now(e));
 		if (after < x->return_after)
 			after = x->return_after;
 		if (after < RETRY_AFTER_LEAST)
--- a/entry/mesh_limits.c
+++ b/entry/mesh_limits.c
@@ -52,7 +52,7 @@
 static void take_use(struct mesh *mesh, struct tr_node *node,
 		     const struct mesh_use *in, apr_time_t now)
 {
-	struct tr_limit *l = tr_limits_row(&mesh->e->limits, in->organisation);
+	struct tr_limit *l = tr_limits_find(&mesh->e->limits, in->organisation);
 	const struct tr_limit_totals totals = {
 		.came = (uint16_t)(in->totals >> 16),
 		.admitted = (uint16_t)in->totals,
@@ -64,8 +64,8 @@
 	reported = tr_node_limit_report(node, in->organisation);
 	/* What it counted before this VM listened is old. */
 	if (reported->name || tr_node_heard_from_start(node, now))
-		tr_limit_heard(l, &mesh->e->limit_bound, &reported->totals,
-			       &totals, now);
+		tr_limit_reported(l, &mesh->e->limit_bound, &reported->totals,
+				  &totals, now);
 	reported->name = in->organisation;
 	reported->totals = totals;
 }
@@ -73,7 +73,7 @@
 static void take_demand(struct mesh *mesh, const struct tr_node *node,
 			const struct mesh_demand *in, apr_time_t now)
 {
-	struct tr_limit *l = tr_limits_row(&mesh->e->limits, in->organisation);
+	struct tr_limit *l = tr_limits_find(&mesh->e->limits, in->organisation);
 
 	if (l)
 		tr_limit_group_reported(l, node->group, in->rate / 100.0, now);
--- a/entry/mesh_notices.c
+++ b/entry/mesh_notices.c
@@ -15,7 +15,7 @@
 		      apr_time_t now)
 {
 	double rate = l->rate * RATE_UNIT;
-	apr_time_t age = (now - l->said_at) / 1000;
+	apr_time_t age = (now - l->named_at) / 1000;
 
 	msg->limits.limits_val[msg->limits.limits_len++] = (struct mesh_limit){
 		.target = l->target,
@@ -36,7 +36,7 @@
 
 static bool is_reported_again(const struct tr_send_limit *l, apr_time_t now)
 {
-	return l->used && (l->holds || now - l->said_at < END_TOLD_FOR);
+	return l->used && (l->holds || now - l->named_at < END_TOLD_FOR);
 }
 
 /* A few limits that were told before, if there is room for them in bytes.
@@ -91,7 +91,8 @@
 	struct entry *e = mesh->e;
 	struct tr_roster *roster = &e->roster;
 	struct tr_instance *row = tr_roster_by_hash(roster, in->target);
-	apr_time_t said_at = tr_send_limit_said_at(TR_MSEC(in->age_ms), now);
+	apr_time_t named_at =
+		tr_send_limit_report_time(TR_MSEC(in->age_ms), now);
 	struct tr_sent_report *reported;
 	uint32_t place;
 
@@ -101,20 +102,21 @@
 	if (in->rate == MESH_NO_LIMIT)
 		notices_log_limit(
 			row, &roster->limits.rows[place],
-			tr_send_limit_lifted(&roster->limits, place, said_at),
+			tr_send_limit_clear(&roster->limits, place, named_at),
 			"peer");
 	else
 		notices_log_limit(row, &roster->limits.rows[place],
-				  tr_send_limit_named(&roster->limits, place,
-						      in->rate / RATE_UNIT,
-						      said_at, now),
+				  tr_send_limit_set(&roster->limits, place,
+						    in->rate / RATE_UNIT,
+						    named_at, now),
 				  "peer");
 	if (!node->near)
 		return;
 	reported = tr_node_sent_report(node, in->target);
-	tr_send_limit_heard(&roster->limits.rows[place],
-			    (uint16_t)(in->sent - reported->sent),
-			    tr_membership_recent_share(&e->members, now), now);
+	tr_send_limit_reported(&roster->limits.rows[place],
+			       (uint16_t)(in->sent - reported->sent),
+			       tr_membership_recent_share(&e->members, now),
+			       now);
 	reported->sent = (uint16_t)in->sent;
 }
 
--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -138,8 +138,8 @@
 		struct tr_allowance *a = allowance_of(e, work->service);
 
 		if (a)
-			tr_allowance_restarted(a, &e->repeat_bound,
-					       &work->purse, work->at, now);
+			tr_allowance_vm_restarted(a, &e->repeat_bound,
+						  &work->purse, work->at, now);
 	}
 }
 
@@ -290,10 +290,11 @@
 	struct tr_allowance *a = is_news ? allowance_of(e, in->service) : NULL;
 
 	if (a) {
-		tr_allowance_heard(a, &e->repeat_bound, &work->totals,
-				   &reported, is_first ? now : work->at, now);
-		tr_purse_heard(&work->purse, &e->repeat_bound, &work->totals,
-			       &reported, now);
+		tr_allowance_reported(a, &e->repeat_bound, &work->totals,
+				      &reported, is_first ? now : work->at,
+				      now);
+		tr_repeat_bucket_reported(&work->purse, &e->repeat_bound,
+					  &work->totals, &reported, now);
 	}
 	work->service = in->service;
 	work->totals = reported;
@@ -305,9 +306,9 @@
 {
 	for (unsigned i = 0; i < node->work_count; i++)
 		if (node->work[i].service == service)
-			return tr_purse_untold(&node->work[i].purse,
-					       &e->repeat_bound,
-					       node->work[i].at, now);
+			return tr_repeat_bucket_unreported(
+				&node->work[i].purse, &e->repeat_bound,
+				node->work[i].at, now);
 	return 0;
 }
 
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -57,11 +57,11 @@
 
 	if (notice->limit_is == TR_NOTICE_GIVEN) {
 		place = tr_roster_limit_index(&e->roster, row);
-		change = tr_send_limit_named(limits, place, notice->limit, now,
-					     now);
+		change = tr_send_limit_set(limits, place, notice->limit, now,
+					   now);
 	} else if (row->limit != TR_NO_ROW && status < 300) {
 		place = row->limit;
-		change = tr_send_limit_unnamed(limits, place, now);
+		change = tr_send_limit_absent(limits, place, now);
 	} else {
 		return;
 	}
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -180,8 +180,8 @@
 
 	if (e->roster.as_of || pull->targets.busy)
 		return;
-	holder = tr_spread_holder(&pull->first_list, &e->members, 0, 0,
-				  &e->random, entry_now(e));
+	holder = tr_spread_choose_source(&pull->first_list, &e->members, 0, 0,
+					 &e->random, entry_now(e));
 	if (holder &&
 	    get(pull, &pull->targets, holder->ip, TARGETS_PATH, got_targets))
 		tr_spread_failed(&pull->first_list, holder->ip, &e->random,
@@ -197,9 +197,9 @@
 
 	if (pull->routes.busy)
 		return;
-	holder =
-		tr_spread_holder(&pull->spread, &e->members, held,
-				 e->refused_revision, &e->random, entry_now(e));
+	holder = tr_spread_choose_source(&pull->spread, &e->members, held,
+					 e->refused_revision, &e->random,
+					 entry_now(e));
 	if (holder &&
 	    get(pull, &pull->routes, holder->ip, ROUTES_PATH, got_routes))
 		tr_spread_failed(&pull->spread, holder->ip, &e->random,
@@ -269,8 +269,9 @@
 {
 	struct caller_answer answer = { .status = 503, .close = true };
 
-	if (bytes && tr_spread_may_serve(&pull->link, g_bytes_get_size(bytes),
-					 entry_now(pull->e))) {
+	if (bytes &&
+	    tr_spread_link_reserve(&pull->link, g_bytes_get_size(bytes),
+				   entry_now(pull->e))) {
 		answer.status = 200;
 		answer.headers = headers;
 		answer.body = g_bytes_get_data(bytes, &answer.body_len);
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -248,7 +248,7 @@
 
 	if (since >= START_LEFT || is_seed(e))
 		return true;
-	if (tr_spread_newest(&e->members, TR_RESOURCE_LIST, now))
+	if (tr_spread_newest_revision(&e->members, TR_RESOURCE_LIST, now))
 		return false;
 	return since >= START_WAIT_LEAST + TR_MSEC(drawn % START_WAIT_MS);
 }
--- a/entry/repeat.c
+++ b/entry/repeat.c
@@ -31,7 +31,7 @@
 	apr_time_t now = entry_now(e);
 	struct tr_allowance *a = entry_allowance(e, service);
 
-	a->untold = mesh_untold_repeats(e, service, now);
+	a->unreported = mesh_untold_repeats(e, service, now);
 	if (tr_allowance_spend(a, &e->repeat_bound, now)) {
 		e->counts.resent++;
 		return true;
@@ -55,7 +55,7 @@
 		 "oldest_news_ms=%ld up_ms=%ld",
 		 e->roster.services[service].name, a->own.repeats, a->denied,
 		 sums.requests, sums.repeats, sums.own_requests,
-		 sums.own_repeats, a->purse.tokens, a->untold,
+		 sums.own_repeats, a->purse.tokens, a->unreported,
 		 e->repeat_bound.vms, tr_membership_recent_share(m, now),
 		 (long)(oldest_news(m, now) / 1000),
 		 (long)((now - e->started_at) / 1000));
@@ -86,8 +86,8 @@
 		struct tr_allowance *a = &e->allowances[i];
 		unsigned wanted = a->own.repeats + a->denied;
 
-		if (wanted != a->wanted_logged)
+		if (wanted != a->logged_attempts)
 			log_allowance(e, i, a, now);
-		a->wanted_logged = wanted;
+		a->logged_attempts = wanted;
 	}
 }
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -165,7 +165,7 @@
 		eventlog(EVENT_LIFE, "paused", "for_ms=%ld",
 			 (long)((now - e->stepped_at) / 1000));
 		reader_woke(e->reader);
-		tr_limits_begin_again(&e->limits, now);
+		tr_limits_restart(&e->limits, now);
 	}
 	e->stepped_at = now;
 	look_at_settings(d, now);
--- a/lib/allowance.c
+++ b/lib/allowance.c
@@ -65,7 +65,7 @@
 /* How many repeats the VM of the purse may send in a window, by the pace at
  * which requests come to it in the long run: by those of the window alone VMs
  * would each spend when their own luck is best. */
-static double own_most(const struct tr_repeat_purse *p,
+static double own_most(const struct tr_repeat_bucket *p,
 		       const struct tr_repeat_bound *bound, apr_time_t now)
 {
 	double steady_for = STEADY_WINDOWS * (double)bound->window;
@@ -85,7 +85,7 @@
 }
 
 /* Requests have come to the VM of the purse. */
-static void add_requests(struct tr_repeat_purse *p,
+static void add_requests(struct tr_repeat_bucket *p,
 			 const struct tr_repeat_bound *bound, unsigned requests,
 			 apr_time_t now)
 {
@@ -97,8 +97,9 @@
 	p->faded_at = now;
 }
 
-static void earn(struct tr_repeat_purse *p, const struct tr_repeat_bound *bound,
-		 double repeats, apr_time_t now)
+static void earn(struct tr_repeat_bucket *p,
+		 const struct tr_repeat_bound *bound, double repeats,
+		 apr_time_t now)
 {
 	p->tokens = fmin(p->tokens + USED_SHARE * repeats,
 			 saved_most(own_most(p, bound, now)));
@@ -106,7 +107,7 @@
 
 /* Take the part of the slack for the time that has passed since it was last
  * taken. */
-static double take_slack(struct tr_repeat_purse *p,
+static double take_slack(struct tr_repeat_bucket *p,
 			 const struct tr_repeat_bound *bound, apr_time_t now)
 {
 	double windows =
@@ -143,11 +144,11 @@
 /* Another VM has told its totals; before is what it told last, at since.
  * Requests count when they came, by an even pace; repeats, of which none may be
  * forgotten too early, count now. */
-void tr_allowance_heard(struct tr_allowance *a,
-			const struct tr_repeat_bound *bound,
-			const struct tr_work_totals *before,
-			const struct tr_work_totals *reported, apr_time_t since,
-			apr_time_t now)
+void tr_allowance_reported(struct tr_allowance *a,
+			   const struct tr_repeat_bound *bound,
+			   const struct tr_work_totals *before,
+			   const struct tr_work_totals *reported,
+			   apr_time_t since, apr_time_t now)
 {
 	unsigned requests = (uint16_t)(reported->requests - before->requests);
 	apr_time_t parts;
@@ -170,10 +171,11 @@
 
 /* Another VM has told its totals; before is what it told last. What it may have
  * saved up by now. */
-void tr_purse_heard(struct tr_repeat_purse *purse,
-		    const struct tr_repeat_bound *bound,
-		    const struct tr_work_totals *before,
-		    const struct tr_work_totals *reported, apr_time_t now)
+void tr_repeat_bucket_reported(struct tr_repeat_bucket *purse,
+			       const struct tr_repeat_bound *bound,
+			       const struct tr_work_totals *before,
+			       const struct tr_work_totals *reported,
+			       apr_time_t now)
 {
 	unsigned requests = (uint16_t)(reported->requests - before->requests);
 	unsigned repeats = (uint16_t)(reported->repeats - before->repeats);
@@ -190,9 +192,9 @@
 /* How many repeats another VM may have sent in the window since it was last
  * heard: what it had saved up, which it may have sent late, behind a cut. What
  * it earned since was by requests that are not heard of either. */
-double tr_purse_untold(const struct tr_repeat_purse *purse,
-		       const struct tr_repeat_bound *bound, apr_time_t heard_at,
-		       apr_time_t now)
+double tr_repeat_bucket_unreported(const struct tr_repeat_bucket *purse,
+				   const struct tr_repeat_bound *bound,
+				   apr_time_t heard_at, apr_time_t now)
 {
 	apr_time_t silent = now - heard_at;
 
@@ -201,15 +203,16 @@
 
 /* Another VM, of which this is the purse, has started anew: what its last
  * process may have sent and not told counts as sent. */
-void tr_allowance_restarted(struct tr_allowance *a,
-			    const struct tr_repeat_bound *bound,
-			    const struct tr_repeat_purse *purse,
-			    apr_time_t heard_at, apr_time_t now)
+void tr_allowance_vm_restarted(struct tr_allowance *a,
+			       const struct tr_repeat_bound *bound,
+			       const struct tr_repeat_bucket *purse,
+			       apr_time_t heard_at, apr_time_t now)
 {
-	double untold = tr_purse_untold(purse, bound, heard_at, now);
+	double unreported =
+		tr_repeat_bucket_unreported(purse, bound, heard_at, now);
 
 	turn(a, bound, now);
-	a->repeats[a->part % TR_ALLOWANCE_SLOTS] += (uint32_t)ceil(untold);
+	a->repeats[a->part % TR_ALLOWANCE_SLOTS] += (uint32_t)ceil(unreported);
 }
 
 /* Requests a second that the VMs heard get for the service: over the window, or
@@ -289,7 +292,7 @@
 
 	tr_allowance_sum(a, &sums);
 	return keeps_pace(
-		a->repeats, a->part, 1 + a->untold,
+		a->repeats, a->part, 1 + a->unreported,
 		USED_SHARE * (bound->ratio * (sums.requests - oldest) + slack));
 }
 
--- a/lib/allowance.h
+++ b/lib/allowance.h
@@ -29,7 +29,7 @@
 
 /* What a VM has saved up: the repeats that it may send now, at earned_at.
  * steady: its requests, which fade slowly, at faded_at, since the first. */
-struct tr_repeat_purse {
+struct tr_repeat_bucket {
 	double tokens;
 	double steady;
 	apr_time_t earned_at;
@@ -42,9 +42,9 @@
  * parts of the window: requests and repeats by the whole fleet as far as it is
  * heard; own_requests and spent by this VM alone. own is what this VM adds, to
  * be told to the others. ahead: how much of a token may be missing when it
- * sends one. untold: what VMs that are silent may have sent since they were
+ * sends one. unreported: what VMs that are silent may have sent since they were
  * last heard. known_since: when this VM began to count. denied and
- * wanted_logged are for the log.
+ * logged_attempts are for the log.
  */
 struct tr_allowance {
 	uint32_t requests[TR_ALLOWANCE_SLOTS];
@@ -53,12 +53,12 @@
 	uint32_t spent[TR_ALLOWANCE_SLOTS];
 	apr_time_t part;
 	apr_time_t known_since;
-	struct tr_repeat_purse purse;
+	struct tr_repeat_bucket purse;
 	double ahead;
-	double untold;
+	double unreported;
 	struct tr_work_totals own;
 	unsigned denied;
-	unsigned wanted_logged;
+	unsigned logged_attempts;
 };
 
 /* What the window holds, as far as it is known. */
@@ -73,15 +73,15 @@
 		       apr_time_t now);
 void tr_allowance_request(struct tr_allowance *a,
 			  const struct tr_repeat_bound *bound, apr_time_t now);
-void tr_allowance_heard(struct tr_allowance *a,
-			const struct tr_repeat_bound *bound,
-			const struct tr_work_totals *before,
-			const struct tr_work_totals *reported, apr_time_t since,
-			apr_time_t now);
-void tr_allowance_restarted(struct tr_allowance *a,
-			    const struct tr_repeat_bound *bound,
-			    const struct tr_repeat_purse *purse,
-			    apr_time_t heard_at, apr_time_t now);
+void tr_allowance_reported(struct tr_allowance *a,
+			   const struct tr_repeat_bound *bound,
+			   const struct tr_work_totals *before,
+			   const struct tr_work_totals *reported,
+			   apr_time_t since, apr_time_t now);
+void tr_allowance_vm_restarted(struct tr_allowance *a,
+			       const struct tr_repeat_bound *bound,
+			       const struct tr_repeat_bucket *purse,
+			       apr_time_t heard_at, apr_time_t now);
 double tr_allowance_rate(struct tr_allowance *a,
 			 const struct tr_repeat_bound *bound, apr_time_t now);
 void tr_allowance_sum(const struct tr_allowance *a,
@@ -89,12 +89,13 @@
 bool tr_allowance_spend(struct tr_allowance *a,
 			const struct tr_repeat_bound *bound, apr_time_t now);
 
-void tr_purse_heard(struct tr_repeat_purse *purse,
-		    const struct tr_repeat_bound *bound,
-		    const struct tr_work_totals *before,
-		    const struct tr_work_totals *reported, apr_time_t now);
-double tr_purse_untold(const struct tr_repeat_purse *purse,
-		       const struct tr_repeat_bound *bound, apr_time_t heard_at,
-		       apr_time_t now);
+void tr_repeat_bucket_reported(struct tr_repeat_bucket *purse,
+			       const struct tr_repeat_bound *bound,
+			       const struct tr_work_totals *before,
+			       const struct tr_work_totals *reported,
+			       apr_time_t now);
+double tr_repeat_bucket_unreported(const struct tr_repeat_bucket *purse,
+				   const struct tr_repeat_bound *bound,
+				   apr_time_t heard_at, apr_time_t now);
 
 #endif
--- a/lib/limit.c
+++ b/lib/limit.c
@@ -84,7 +84,7 @@
 }
 
 /* The row of the name, or NULL. */
-struct tr_limit *tr_limits_row(struct tr_limits *limits, uint32_t name)
+struct tr_limit *tr_limits_find(struct tr_limits *limits, uint32_t name)
 {
 	uint32_t at;
 	uint32_t i = tr_index_first(&limits->by_name, name, &at);
@@ -93,10 +93,11 @@
 }
 
 /* The organisation's row, made when its name is new, by its place. */
-uint32_t tr_limits_place(struct tr_limits *limits, const char *organisation)
+uint32_t tr_limits_find_or_add(struct tr_limits *limits,
+			       const char *organisation)
 {
 	uint32_t name = tr_limit_name(organisation);
-	struct tr_limit *row = tr_limits_row(limits, name);
+	struct tr_limit *row = tr_limits_find(limits, name);
 
 	if (!row)
 		row = add_row(limits, name);
@@ -105,7 +106,7 @@
 
 /* This VM has stood still: what others did meanwhile is not known, as after a
  * start. */
-void tr_limits_begin_again(struct tr_limits *limits, apr_time_t now)
+void tr_limits_restart(struct tr_limits *limits, apr_time_t now)
 {
 	for (unsigned i = 0; i < limits->count; i++)
 		limits->rows[i].known_since = now;
@@ -157,7 +158,7 @@
  * while all VMs start anew, each group would else take the whole limit for its
  * own.
  */
-double tr_limit_part(const struct tr_limit *l, apr_time_t now)
+double tr_limit_group_share(const struct tr_limit *l, apr_time_t now)
 {
 	double near = steady_rate(l, now);
 	double others = 0;
@@ -276,9 +277,9 @@
 }
 
 /* Another VM of the group has told its totals; before is what it told last. */
-void tr_limit_heard(struct tr_limit *l, const struct tr_limit_bound *bound,
-		    const struct tr_limit_totals *before,
-		    const struct tr_limit_totals *reported, apr_time_t now)
+void tr_limit_reported(struct tr_limit *l, const struct tr_limit_bound *bound,
+		       const struct tr_limit_totals *before,
+		       const struct tr_limit_totals *reported, apr_time_t now)
 {
 	turn(l, bound, now);
 	fade(l, now);
@@ -322,8 +323,8 @@
  * counted when they were judged, 104 VMs that came back together in a flood let
  * all through that had waited, 1.08 of what operators allow (the load test).
  */
-void tr_limit_came(struct tr_limit *l, const struct tr_limit_bound *bound,
-		   apr_time_t now)
+void tr_limit_arrived(struct tr_limit *l, const struct tr_limit_bound *bound,
+		      apr_time_t now)
 {
 	turn(l, bound, now);
 	fade(l, now);
@@ -348,7 +349,7 @@
 	/* VMs that are not heard yet are not lost. */
 	l->heard = has_just_begun(l, now) ? 1 : heard->share;
 	l->groups_all = heard->groups;
-	part = tr_limit_part(l, now);
+	part = tr_limit_group_share(l, now);
 	turn(l, bound, now);
 	fade(l, now);
 	if (l->rate > 0) {
@@ -373,9 +374,9 @@
 
 /* When a caller that was refused should come back, in us: when what was let
  * through beyond the limit is made up for, and not all at once. */
-apr_time_t tr_limit_return_after(const struct tr_limit *l,
-				 const struct tr_limit_bound *bound,
-				 struct tr_random *random)
+apr_time_t tr_limit_retry_after(const struct tr_limit *l,
+				const struct tr_limit_bound *bound,
+				struct tr_random *random)
 {
 	double beyond = tr_limit_used(l) - whole(l, bound) * l->heard;
 	apr_time_t after = RETURN_LEAST;
--- a/lib/limit.h
+++ b/lib/limit.h
@@ -80,27 +80,28 @@
 };
 
 uint32_t tr_limit_name(const char *organisation);
-struct tr_limit *tr_limits_row(struct tr_limits *limits, uint32_t name);
-uint32_t tr_limits_place(struct tr_limits *limits, const char *organisation);
-void tr_limits_begin_again(struct tr_limits *limits, apr_time_t now);
+struct tr_limit *tr_limits_find(struct tr_limits *limits, uint32_t name);
+uint32_t tr_limits_find_or_add(struct tr_limits *limits,
+			       const char *organisation);
+void tr_limits_restart(struct tr_limits *limits, apr_time_t now);
 void tr_limits_release(struct tr_limits *limits);
 void tr_limit_set(struct tr_limit *l, double rate, double burst,
 		  apr_time_t now);
-void tr_limit_heard(struct tr_limit *l, const struct tr_limit_bound *bound,
-		    const struct tr_limit_totals *before,
-		    const struct tr_limit_totals *reported, apr_time_t now);
+void tr_limit_reported(struct tr_limit *l, const struct tr_limit_bound *bound,
+		       const struct tr_limit_totals *before,
+		       const struct tr_limit_totals *reported, apr_time_t now);
 void tr_limit_group_reported(struct tr_limit *l, uint64_t group, double rate,
 			     apr_time_t now);
-double tr_limit_part(const struct tr_limit *l, apr_time_t now);
+double tr_limit_group_share(const struct tr_limit *l, apr_time_t now);
 double tr_limit_demand(const struct tr_limit *l, apr_time_t now);
-void tr_limit_came(struct tr_limit *l, const struct tr_limit_bound *bound,
-		   apr_time_t now);
+void tr_limit_arrived(struct tr_limit *l, const struct tr_limit_bound *bound,
+		      apr_time_t now);
 bool tr_limit_admit(struct tr_limit *l, const struct tr_limit_bound *bound,
 		    const struct tr_limit_fleet *heard,
 		    struct tr_random *random, apr_time_t now);
 double tr_limit_used(const struct tr_limit *l);
-apr_time_t tr_limit_return_after(const struct tr_limit *l,
-				 const struct tr_limit_bound *bound,
-				 struct tr_random *random);
+apr_time_t tr_limit_retry_after(const struct tr_limit *l,
+				const struct tr_limit_bound *bound,
+				struct tr_random *random);
 
 #endif
--- a/lib/membership.h
+++ b/lib/membership.h
@@ -48,7 +48,7 @@
 struct tr_work_report {
 	uint32_t service;
 	struct tr_work_totals totals;
-	struct tr_repeat_purse purse;
+	struct tr_repeat_bucket purse;
 	apr_time_t at;
 };
 
--- a/lib/place.c
+++ b/lib/place.c
@@ -104,7 +104,7 @@
  * which begins when the first one turns out to have failed. */
 static double loss_of(const struct tr_place_request *req)
 {
-	double again = (double)(req->fail_age + req->usual);
+	double again = (double)(req->failure_age + req->usual);
 
 	if (!req->may_repeat || !tr_mechanism_on(TR_MECH_SCOUTS))
 		return LOSS;
@@ -131,7 +131,7 @@
 
 static double cost_of(const struct tr_instance *row,
 		      const struct tr_place_request *req, double loss,
-		      apr_time_t now, struct tr_placing *p)
+		      apr_time_t now, struct tr_placement *p)
 {
 	uint32_t in_flight = tr_instance_in_flight(row, now);
 	double takes = (double)req->usual;
@@ -154,7 +154,7 @@
  * many are refused. For the length of a burst it may.
  */
 static bool in_time(const struct tr_place_request *req,
-		    const struct tr_placing *p)
+		    const struct tr_placement *p)
 {
 	apr_time_t left = req->time_left;
 
@@ -242,7 +242,7 @@
 enum tr_place_result tr_place(const struct tr_roster *roster,
 			      const struct tr_place_request *req,
 			      struct tr_random *random, apr_time_t now,
-			      struct tr_placing *placing)
+			      struct tr_placement *placing)
 {
 	unsigned known = 0;
 	unsigned untried = 0;
@@ -252,7 +252,7 @@
 	unsigned fitting = 0;
 	unsigned limited = 0;
 	unsigned resting = 0;
-	apr_time_t least_takes = APR_INT64_MAX;
+	apr_time_t shortest_time = APR_INT64_MAX;
 	uint32_t drawn = draw_limited(roster, req, random, now);
 	uint32_t picked;
 
@@ -264,7 +264,7 @@
 	placing->cost = INFINITY;
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
-		struct tr_placing p = { .row = i };
+		struct tr_placement p = { .row = i };
 		apr_time_t takes;
 		bool fits;
 
@@ -281,8 +281,8 @@
 		untried++;
 		p.cost = cost_of(row, req, loss, now, &p);
 		takes = p.wait + req->usual;
-		if (p.risk < SUSPECT && takes < least_takes)
-			least_takes = takes;
+		if (p.risk < SUSPECT && takes < shortest_time)
+			shortest_time = takes;
 		fits = row->full_until <= now && in_time(req, &p);
 		if (tr_roster_limit(roster, row)) {
 			limited += fits && i != drawn;
@@ -308,7 +308,7 @@
 		placing->cost =
 			cost_of(&roster->rows[picked], req, loss, now, placing);
 	}
-	placing->least_takes = least_takes;
+	placing->shortest_time = shortest_time;
 	if (fitting)
 		return TR_PLACE_FOUND;
 	if (!known)
@@ -349,9 +349,9 @@
  * may be sent, or where all rest when the first has rested; spread so that they
  * do not all return at once.
  */
-apr_time_t tr_place_return_after(const struct tr_roster *roster,
-				 const struct tr_place_request *req,
-				 struct tr_random *random, apr_time_t now)
+apr_time_t tr_place_retry_after(const struct tr_roster *roster,
+				const struct tr_place_request *req,
+				struct tr_random *random, apr_time_t now)
 {
 	struct room room = { .rested_at = APR_INT64_MAX };
 	double spread = tr_random_unit(random);
--- a/lib/place.h
+++ b/lib/place.h
@@ -8,8 +8,8 @@
 
 /*
  * What a request that looks for a target is like. usual and spread tell how
- * long its work takes, fail_age how old attempts are when they turn out to have
- * failed. may_repeat: if this attempt fails, another may be sent. wanted:
+ * long its work takes, failure_age how old attempts are when they turn out to
+ * have failed. may_repeat: if this attempt fails, another may be sent. wanted:
  * requests a second that this VM's group gets for the service; heard: the part
  * of the fleet that this VM hears; turns: its place among the VMs that send for
  * the floor.
@@ -19,7 +19,7 @@
 	uint32_t service;
 	apr_time_t usual;
 	double spread;
-	apr_time_t fail_age;
+	apr_time_t failure_age;
 	apr_time_t aim_left;
 	apr_time_t time_left;
 	const char *data_centre;
@@ -35,13 +35,13 @@
 	struct tr_floor_rotation turns;
 };
 
-struct tr_placing {
+struct tr_placement {
 	uint32_t row;
 	double cost;
 	bool for_floor;
 	double risk;
 	apr_time_t wait;
-	apr_time_t least_takes;
+	apr_time_t shortest_time;
 };
 
 enum tr_place_result {
@@ -56,9 +56,9 @@
 enum tr_place_result tr_place(const struct tr_roster *roster,
 			      const struct tr_place_request *req,
 			      struct tr_random *random, apr_time_t now,
-			      struct tr_placing *placing);
-apr_time_t tr_place_return_after(const struct tr_roster *roster,
-				 const struct tr_place_request *req,
-				 struct tr_random *random, apr_time_t now);
+			      struct tr_placement *placing);
+apr_time_t tr_place_retry_after(const struct tr_roster *roster,
+				const struct tr_place_request *req,
+				struct tr_random *random, apr_time_t now);
 
 #endif
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -426,7 +426,7 @@
 	tr_index_remove(&roster->by_id, id_key(row->id), i);
 	tr_index_remove(&roster->by_hash, row->hash, i);
 	if (row->limit != TR_NO_ROW)
-		tr_send_limits_drop(&roster->limits, row->limit);
+		tr_send_limits_remove(&roster->limits, row->limit);
 	roster->says_leaving_count -= row->says_leaving;
 	row->used = false;
 }
@@ -439,7 +439,7 @@
 	const struct tr_send_limit *l = tr_roster_limit(roster, row);
 
 	if (row->away && l && tr_send_limit_is_stale(l, now))
-		tr_send_limits_forget(&roster->limits, row->limit);
+		tr_send_limits_deactivate(&roster->limits, row->limit);
 }
 
 /* Removes lapsed targets at the end of their grace period, and frees the rows
--- a/lib/send_limit.c
+++ b/lib/send_limit.c
@@ -65,7 +65,7 @@
 }
 
 /* The target is gone. */
-void tr_send_limits_drop(struct tr_send_limits *limits, uint32_t place)
+void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t place)
 {
 	limits->holding -= limits->rows[place].holds;
 	memset(&limits->rows[place], 0, sizeof(*limits->rows));
@@ -108,24 +108,23 @@
  * The longest usual delivery time is added: without it each report would look
  * younger than the last, and VMs would refresh each other's for ever.
  */
-apr_time_t tr_send_limit_said_at(apr_time_t reported_age, apr_time_t now)
+apr_time_t tr_send_limit_report_time(apr_time_t reported_age, apr_time_t now)
 {
 	return now - reported_age - WAY_MOST;
 }
 
 /* An answer to this VM or another named a limit, at a time by this VM's clock.
  */
-enum tr_send_limit_change tr_send_limit_named(struct tr_send_limits *limits,
-					      uint32_t place, double rate,
-					      apr_time_t said_at,
-					      apr_time_t now)
+enum tr_send_limit_change tr_send_limit_set(struct tr_send_limits *limits,
+					    uint32_t place, double rate,
+					    apr_time_t named_at, apr_time_t now)
 {
 	struct tr_send_limit *l = &limits->rows[place];
 	bool held = l->holds;
 
-	if (said_at <= l->said_at)
+	if (named_at <= l->named_at)
 		return TR_SEND_LIMIT_SAME;
-	l->said_at = said_at;
+	l->named_at = named_at;
 	l->rate = rate;
 	if (held &&
 	    fabs(rate - l->rate_reported) <= SAME_PART * l->rate_reported)
@@ -141,22 +140,22 @@
 }
 
 /* Another VM has told that the limit had ended at a time. */
-enum tr_send_limit_change tr_send_limit_lifted(struct tr_send_limits *limits,
-					       uint32_t place,
-					       apr_time_t said_at)
+enum tr_send_limit_change tr_send_limit_clear(struct tr_send_limits *limits,
+					      uint32_t place,
+					      apr_time_t named_at)
 {
 	struct tr_send_limit *l = &limits->rows[place];
 
-	if (!l->holds || said_at <= l->said_at)
+	if (!l->holds || named_at <= l->named_at)
 		return TR_SEND_LIMIT_SAME;
 	limits->holding--;
 	l->holds = false;
-	l->said_at = said_at;
+	l->named_at = named_at;
 	return TR_SEND_LIMIT_ENDED;
 }
 
 /* No longer hold to it, which is no word of the target's. */
-void tr_send_limits_forget(struct tr_send_limits *limits, uint32_t place)
+void tr_send_limits_deactivate(struct tr_send_limits *limits, uint32_t place)
 {
 	struct tr_send_limit *l = &limits->rows[place];
 
@@ -167,17 +166,17 @@
 /* Has nobody told of the limit of another group's target for long? */
 bool tr_send_limit_is_stale(const struct tr_send_limit *l, apr_time_t now)
 {
-	return l->holds && now - l->said_at > AWAY_HOLDS;
+	return l->holds && now - l->named_at > AWAY_HOLDS;
 }
 
 /* An answer to this VM named none. */
-enum tr_send_limit_change tr_send_limit_unnamed(struct tr_send_limits *limits,
-						uint32_t place,
-						apr_time_t said_at)
+enum tr_send_limit_change tr_send_limit_absent(struct tr_send_limits *limits,
+					       uint32_t place,
+					       apr_time_t named_at)
 {
-	if (said_at < limits->rows[place].said_at + ENDS_AFTER)
+	if (named_at < limits->rows[place].named_at + ENDS_AFTER)
 		return TR_SEND_LIMIT_SAME;
-	return tr_send_limit_lifted(limits, place, said_at);
+	return tr_send_limit_clear(limits, place, named_at);
 }
 
 /* This VM sends a request to the target. */
@@ -189,8 +188,8 @@
 }
 
 /* Other VMs have sent so many. */
-void tr_send_limit_heard(struct tr_send_limit *l, uint16_t sent, double share,
-			 apr_time_t now)
+void tr_send_limit_reported(struct tr_send_limit *l, uint16_t sent,
+			    double share, apr_time_t now)
 {
 	if (sent)
 		spend(l, sent, share, now);
--- a/lib/send_limit.h
+++ b/lib/send_limit.h
@@ -8,7 +8,7 @@
 /*
  * The limit that one target has named, as one VM keeps it. rate: requests a
  * second from all VMs together, while it holds; rate_told is the one of which
- * the last line and message were. said_at: when the target last spoke of it to
+ * the last line and message were. named_at: when the target last spoke of it to
  * any VM. tokens: requests that may be sent, as this VM knows
  * from what it and the others sent, at a time. sent is this VM's part, as a
  * running total that wraps around; changed: something is to be told to others.
@@ -19,7 +19,7 @@
 	uint32_t target;
 	double rate;
 	double rate_reported;
-	apr_time_t said_at;
+	apr_time_t named_at;
 	double tokens;
 	apr_time_t at;
 	uint16_t sent;
@@ -45,24 +45,24 @@
 };
 
 uint32_t tr_send_limits_add(struct tr_send_limits *limits, uint32_t target);
-void tr_send_limits_drop(struct tr_send_limits *limits, uint32_t place);
+void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t place);
 void tr_send_limits_release(struct tr_send_limits *limits);
-enum tr_send_limit_change tr_send_limit_named(struct tr_send_limits *limits,
-					      uint32_t place, double rate,
-					      apr_time_t said_at,
-					      apr_time_t now);
-enum tr_send_limit_change tr_send_limit_unnamed(struct tr_send_limits *limits,
-						uint32_t place,
-						apr_time_t said_at);
-enum tr_send_limit_change tr_send_limit_lifted(struct tr_send_limits *limits,
+enum tr_send_limit_change tr_send_limit_set(struct tr_send_limits *limits,
+					    uint32_t place, double rate,
+					    apr_time_t named_at,
+					    apr_time_t now);
+enum tr_send_limit_change tr_send_limit_absent(struct tr_send_limits *limits,
 					       uint32_t place,
-					       apr_time_t said_at);
-void tr_send_limits_forget(struct tr_send_limits *limits, uint32_t place);
+					       apr_time_t named_at);
+enum tr_send_limit_change tr_send_limit_clear(struct tr_send_limits *limits,
+					      uint32_t place,
+					      apr_time_t named_at);
+void tr_send_limits_deactivate(struct tr_send_limits *limits, uint32_t place);
 bool tr_send_limit_is_stale(const struct tr_send_limit *l, apr_time_t now);
-apr_time_t tr_send_limit_said_at(apr_time_t reported_age, apr_time_t now);
+apr_time_t tr_send_limit_report_time(apr_time_t reported_age, apr_time_t now);
 void tr_send_limit_sent(struct tr_send_limit *l, double share, apr_time_t now);
-void tr_send_limit_heard(struct tr_send_limit *l, uint16_t sent, double share,
-			 apr_time_t now);
+void tr_send_limit_reported(struct tr_send_limit *l, uint16_t sent,
+			    double share, apr_time_t now);
 double tr_send_limit_tokens(const struct tr_send_limit *l, double share,
 			    apr_time_t now);
 double tr_send_limit_rate(const struct tr_send_limit *l, double share);
--- a/lib/spread.c
+++ b/lib/spread.c
@@ -40,8 +40,8 @@
 #define LINK_AHEAD TR_MSEC(80)
 
 /* The newest that a VM in reach says it has. */
-uint64_t tr_spread_newest(const struct tr_membership *m, enum tr_resource what,
-			  apr_time_t now)
+uint64_t tr_spread_newest_revision(const struct tr_membership *m,
+				   enum tr_resource what, apr_time_t now)
 {
 	uint64_t newest = 0;
 
@@ -133,12 +133,13 @@
  * older one that is near goes before the newest of another group: while
  * configurations come every tenth of a second the newest is always elsewhere.
  */
-const struct tr_node *tr_spread_holder(struct tr_spread *s,
-				       const struct tr_membership *m,
-				       uint64_t held, uint64_t refused,
-				       struct tr_random *random, apr_time_t now)
+const struct tr_node *tr_spread_choose_source(struct tr_spread *s,
+					      const struct tr_membership *m,
+					      uint64_t held, uint64_t refused,
+					      struct tr_random *random,
+					      apr_time_t now)
 {
-	uint64_t newest = tr_spread_newest(m, s->what, now);
+	uint64_t newest = tr_spread_newest_revision(m, s->what, now);
 	const struct tr_node *holder;
 	bool near;
 
@@ -176,8 +177,8 @@
 
 /* May a copy of so many bytes be sent now? If so its time on the link counts.
  */
-bool tr_spread_may_serve(struct tr_spread_link *link, size_t bytes,
-			 apr_time_t now)
+bool tr_spread_link_reserve(struct tr_spread_link *link, size_t bytes,
+			    apr_time_t now)
 {
 	if (link->taken_until < now)
 		link->taken_until = now;
--- a/lib/spread.h
+++ b/lib/spread.h
@@ -20,16 +20,16 @@
 	apr_time_t taken_until;
 };
 
-uint64_t tr_spread_newest(const struct tr_membership *m, enum tr_resource what,
-			  apr_time_t now);
-const struct tr_node *tr_spread_holder(struct tr_spread *s,
-				       const struct tr_membership *m,
-				       uint64_t held, uint64_t refused,
-				       struct tr_random *random,
-				       apr_time_t now);
+uint64_t tr_spread_newest_revision(const struct tr_membership *m,
+				   enum tr_resource what, apr_time_t now);
+const struct tr_node *tr_spread_choose_source(struct tr_spread *s,
+					      const struct tr_membership *m,
+					      uint64_t held, uint64_t refused,
+					      struct tr_random *random,
+					      apr_time_t now);
 void tr_spread_failed(struct tr_spread *s, uint32_t holder,
 		      struct tr_random *random, apr_time_t now);
-bool tr_spread_may_serve(struct tr_spread_link *link, size_t bytes,
-			 apr_time_t now);
+bool tr_spread_link_reserve(struct tr_spread_link *link, size_t bytes,
+			    apr_time_t now);
 
 #endif
--- a/tests/allowance_load_test.cc
+++ b/tests/allowance_load_test.cc
@@ -32,7 +32,7 @@
 	unsigned life = 0;
 	bool known = false;
 	tr_work_totals totals{};
-	tr_repeat_purse purse{};
+	tr_repeat_bucket purse{};
 	apr_time_t at = 0;
 };
 
@@ -121,7 +121,7 @@
 	}
 
 	/* What those that are silent may have sent since the VM heard them. */
-	double untold(const Vm &vm) const
+	double unreported(const Vm &vm) const
 	{
 		double sum = 0;
 
@@ -129,8 +129,8 @@
 			return 0;
 		for (const Heard &h : vm.others)
 			if (h.known && now - h.at > SILENT_AFTER)
-				sum += tr_purse_untold(&h.purse, &bound, h.at,
-						       now);
+				sum += tr_repeat_bucket_unreported(
+					&h.purse, &bound, h.at, now);
 		return sum;
 	}
 
@@ -153,7 +153,7 @@
 
 			if (r.tries >= TRIES_MOST || r.life != vm.life)
 				continue;
-			vm.allowance.untold = untold(vm);
+			vm.allowance.unreported = unreported(vm);
 			if (!tr_allowance_spend(&vm.allowance, &bound, now))
 				continue;
 			repeats.push_back(now);
@@ -176,15 +176,15 @@
 			return;
 		}
 		if (restarted) {
-			tr_allowance_restarted(&vm.allowance, &bound, &h.purse,
-					       h.at, now);
+			tr_allowance_vm_restarted(&vm.allowance, &bound,
+						  &h.purse, h.at, now);
 			h = Heard{ m.life, true, {}, {}, now };
 		}
 		if (h.known) {
-			tr_allowance_heard(&vm.allowance, &bound, &h.totals,
-					   &m.told, h.at, now);
-			tr_purse_heard(&h.purse, &bound, &h.totals, &m.told,
-				       now);
+			tr_allowance_reported(&vm.allowance, &bound, &h.totals,
+					      &m.told, h.at, now);
+			tr_repeat_bucket_reported(&h.purse, &bound, &h.totals,
+						  &m.told, now);
 		}
 		h = Heard{ m.life, true, m.told, h.purse, now };
 	}
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -266,12 +266,12 @@
 		Vm &vm = *vms[v];
 		tr_roster *roster = &vm.e.roster;
 		tr_service_stats *svc = &roster->services[0];
-		tr_placing p;
+		tr_placement p;
 		tr_place_request req{};
 
 		req.usual = tr_service_stats_mean_time(svc, AIM);
 		req.spread = tr_service_stats_spread(svc);
-		req.fail_age = tr_service_stats_failure_age(svc, AIM);
+		req.failure_age = tr_service_stats_failure_age(svc, AIM);
 		req.standing_queue = svc->standing_queue;
 		req.aim_left = AIM;
 		req.time_left = plan.hangs_for;
@@ -286,11 +286,11 @@
 			lost_requests++;
 			return;
 		}
-		tr_service_stats_track_queue(svc, p.least_takes, AIM, now);
+		tr_service_stats_track_queue(svc, p.shortest_time, AIM, now);
 		begin(v, p, tried);
 	}
 
-	void begin(unsigned v, const tr_placing &p,
+	void begin(unsigned v, const tr_placement &p,
 		   const std::vector<uint32_t> &tried)
 	{
 		Vm &vm = *vms[v];
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -135,12 +135,12 @@
 	void send()
 	{
 		tr_service_stats *svc = &roster.services[0];
-		tr_placing p;
+		tr_placement p;
 		tr_place_request req{};
 
 		req.usual = TR_MSEC(250);
 		req.spread = 0.7;
-		req.fail_age = TR_MSEC(700);
+		req.failure_age = TR_MSEC(700);
 		req.aim_left = TR_MSEC(1200);
 		req.time_left = HANGS_FOR;
 		req.data_centre = "dc";
@@ -152,7 +152,7 @@
 			lost_requests++;
 			return;
 		}
-		tr_service_stats_track_queue(svc, p.least_takes, req.aim_left,
+		tr_service_stats_track_queue(svc, p.shortest_time, req.aim_left,
 					     now);
 		tr_instance *row = &roster.rows[p.row];
 		Target &t = targets[p.row];
--- a/tests/limit_load_test.cc
+++ b/tests/limit_load_test.cc
@@ -113,7 +113,7 @@
 	void begin(Vm &vm)
 	{
 		tr_limits_release(&vm.limits);
-		tr_limits_place(&vm.limits, "one");
+		tr_limits_find_or_add(&vm.limits, "one");
 		tr_limit_set(limit(vm), load.rate, load.burst, now());
 		vm.told.assign(load.vms, {});
 	}
@@ -193,7 +193,7 @@
 
 	void came(unsigned vm)
 	{
-		tr_limit_came(limit(vms[vm]), &BOUND, now());
+		tr_limit_arrived(limit(vms[vm]), &BOUND, now());
 		arrive(vm);
 	}
 
@@ -299,8 +299,9 @@
 							told.demand, now());
 				continue;
 			}
-			tr_limit_heard(limit(vm), &BOUND, &vm.told[told.from],
-				       &told.totals, now());
+			tr_limit_reported(limit(vm), &BOUND,
+					  &vm.told[told.from], &told.totals,
+					  now());
 			vm.told[told.from] = told.totals;
 		}
 	}
@@ -534,7 +535,7 @@
 
 bool come(tr_limit *l, tr_random *random, apr_time_t now)
 {
-	tr_limit_came(l, &BOUND, now);
+	tr_limit_arrived(l, &BOUND, now);
 	return tr_limit_admit(l, &BOUND, &WHOLE, random, now);
 }
 
@@ -545,7 +546,7 @@
 	tr_limit *l;
 	unsigned n = 0;
 
-	tr_limits_place(&limits, "one");
+	tr_limits_find_or_add(&limits, "one");
 	l = &limits.rows[0];
 	tr_limit_set(l, 1000, 1000, TR_SEC(100));
 	tr_limit_set(l, 2, 2, TR_SEC(100));
@@ -562,7 +563,7 @@
 	tr_random random{ 1 };
 	tr_limit *l;
 
-	tr_limits_place(&limits, "one");
+	tr_limits_find_or_add(&limits, "one");
 	l = &limits.rows[0];
 	tr_limit_set(l, 0, 0, TR_SEC(100));
 	for (int i = 0; i < 1000; i++)
@@ -577,14 +578,14 @@
 	tr_limit *l;
 	apr_time_t least = TR_SEC(9), most = 0;
 
-	tr_limits_place(&limits, "one");
+	tr_limits_find_or_add(&limits, "one");
 	l = &limits.rows[0];
 	tr_limit_set(l, 10, 10, TR_SEC(100));
 	for (int i = 0; i < 100; i++) {
 		apr_time_t after;
 
 		come(l, &random, TR_SEC(100) + i);
-		after = tr_limit_return_after(l, &BOUND, &random);
+		after = tr_limit_retry_after(l, &BOUND, &random);
 		least = std::min(least, after);
 		most = std::max(most, after);
 	}
--- a/tests/mesh_test.cc
+++ b/tests/mesh_test.cc
@@ -139,7 +139,7 @@
 		tr_instance *row = &e.roster.rows[i];
 		uint32_t place = tr_roster_limit_index(&e.roster, row);
 
-		tr_send_limit_named(&e.roster.limits, place, 1, now, now);
+		tr_send_limit_set(&e.roster.limits, place, 1, now, now);
 		tr_roster_mark_leaving(&e.roster, &e.roster.rows[100 + i]);
 	}
 	for (int i = 0; i < 20; i++) {
@@ -170,7 +170,7 @@
 		tr_instance *row = &e.roster.rows[i];
 		uint32_t place = tr_roster_limit_index(&e.roster, row);
 
-		tr_send_limit_named(&e.roster.limits, place, 1, now, now);
+		tr_send_limit_set(&e.roster.limits, place, 1, now, now);
 		e.roster.limits.rows[place].changed = true;
 		tr_roster_mark_leaving(&e.roster, row);
 	}
@@ -354,7 +354,7 @@
 			tr_membership_init(&vm->members, 1, 1, "dc-1");
 			vm->repeat_bound = { 0.2, 50, TR_SEC(10), 2, 2 };
 			vm->limit_bound = { TR_SEC(5), 0.25, 20 };
-			tr_limits_place(&vm->limits, "org");
+			tr_limits_find_or_add(&vm->limits, "org");
 		}
 		own_limit = &e.limits.rows[0];
 		limit = &other.limits.rows[0];
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -23,7 +23,7 @@
 		req.service = tr_roster_service(&roster, "svc");
 		req.usual = TR_MSEC(250);
 		req.spread = 0.7;
-		req.fail_age = TR_MSEC(500);
+		req.failure_age = TR_MSEC(500);
 		req.aim_left = TR_SEC(1);
 		req.time_left = TR_SEC(2);
 		req.data_centre = "dc-1";
@@ -59,7 +59,7 @@
 	std::map<uint32_t, int> draw(int times)
 	{
 		std::map<uint32_t, int> counts;
-		tr_placing p;
+		tr_placement p;
 
 		for (int i = 0; i < times; i++) {
 			EXPECT_EQ(tr_place(&roster, &req, &random, now, &p),
@@ -133,7 +133,7 @@
 	tr_gray_add(&roster.rows[1].gray, TR_SYMPTOM_FAILED, 1, now);
 	EXPECT_LT(draw(200)[1], 40);
 	req.may_repeat = true;
-	req.fail_age = TR_MSEC(3);
+	req.failure_age = TR_MSEC(3);
 	EXPECT_GT(draw(200)[1], 190);
 }
 
@@ -144,7 +144,7 @@
 	roster.rows[0].others_in_flight = 3;
 	tr_gray_add(&roster.rows[1].gray, TR_SYMPTOM_FAILED, 2, now);
 	req.may_repeat = true;
-	req.fail_age = TR_MSEC(900);
+	req.failure_age = TR_MSEC(900);
 	EXPECT_LT(draw(200)[1], 20);
 }
 
@@ -162,7 +162,7 @@
  */
 TEST_F(Place, WhatCannotBeDoneInTimeIsSaidAtOnce)
 {
-	tr_placing p;
+	tr_placement p;
 
 	add_many(2);
 	roster.rows[0].others_in_flight = 60;
@@ -173,7 +173,7 @@
 TEST_F(Place, TriedTargetsAreNotTriedAgain)
 {
 	uint32_t tried[2] = { 0, 1 };
-	tr_placing p;
+	tr_placement p;
 
 	add_many(2);
 	req.tried = tried;
@@ -186,7 +186,7 @@
 
 TEST_F(Place, ALeavingTargetGetsNothing)
 {
-	tr_placing p;
+	tr_placement p;
 
 	add("a")->leaving = true;
 	EXPECT_EQ(tr_place(&roster, &req, &random, now, &p),
@@ -220,7 +220,7 @@
 		roster.rows[i].used_at = now - TR_SEC(2);
 	}
 	for (int i = 0; i < 800; i++) {
-		tr_placing p;
+		tr_placement p;
 
 		tr_service_stats_add_outcomes(&roster.services[req.service],
 					      TR_SYMPTOM_ANSWERED, 1, now);
@@ -302,7 +302,7 @@
 	roster.rows[1].others_in_flight = 12;
 	for (int i = 0; i < 100; i++)
 		after.push_back(
-			tr_place_return_after(&roster, &req, &random, now));
+			tr_place_retry_after(&roster, &req, &random, now));
 	EXPECT_GT(*std::max_element(after.begin(), after.end()),
 		  *std::min_element(after.begin(), after.end()) * 3 / 2);
 	EXPECT_GE(*std::min_element(after.begin(), after.end()), req.usual);
@@ -312,9 +312,9 @@
  */
 void set_limit(tr_roster *roster, uint32_t row, double rate, apr_time_t at)
 {
-	tr_send_limit_named(&roster->limits,
-			    tr_roster_limit_index(roster, &roster->rows[row]),
-			    rate, at, at);
+	tr_send_limit_set(&roster->limits,
+			  tr_roster_limit_index(roster, &roster->rows[row]),
+			  rate, at, at);
 }
 
 /* Guards against a target that is given more than the limit that it named. */
@@ -349,7 +349,7 @@
  * have as much as they take, and come back before there is room. */
 TEST_F(Place, WhereAllTargetsHaveLimitsTheRestIsRefusedUntilThereIsRoom)
 {
-	tr_placing p;
+	tr_placement p;
 
 	add_many(2);
 	req.heard = 1;
@@ -358,7 +358,7 @@
 	EXPECT_EQ(tr_place(&roster, &req, &random, now, &p), TR_PLACE_LIMITED);
 	for (int i = 0; i < 20; i++) {
 		apr_time_t after =
-			tr_place_return_after(&roster, &req, &random, now);
+			tr_place_retry_after(&roster, &req, &random, now);
 
 		EXPECT_GE(after, TR_SEC(1));
 		EXPECT_LE(after, TR_SEC(2));
@@ -370,7 +370,7 @@
 TEST_F(Place, TheFloorAsksForNothingThatATargetHasRefused)
 {
 	std::map<uint32_t, int> counts;
-	tr_placing p;
+	tr_placement p;
 
 	add_many(12);
 	for (int i = 2; i < 12; i++)
@@ -410,7 +410,7 @@
  * callers that are sent back before any target has rested. */
 TEST_F(Place, ATargetThatWantsRestGetsNothingUntilItHasRested)
 {
-	tr_placing p;
+	tr_placement p;
 
 	add_many(2);
 	roster.rows[0].backoff_until = now + TR_SEC(2);
@@ -419,7 +419,7 @@
 	EXPECT_EQ(tr_place(&roster, &req, &random, now, &p), TR_PLACE_RESTING);
 	for (int i = 0; i < 20; i++) {
 		apr_time_t after =
-			tr_place_return_after(&roster, &req, &random, now);
+			tr_place_retry_after(&roster, &req, &random, now);
 
 		EXPECT_GE(after, TR_SEC(2));
 		EXPECT_LE(after, TR_SEC(3));
@@ -544,7 +544,7 @@
 		int vm = (int)tr_random_below(&random, VMS);
 		tr_service_stats *svc = &views[vm].services[0];
 		tr_place_request req{};
-		tr_placing p;
+		tr_placement p;
 
 		req.usual = WORK;
 		req.spread = 0.3;
@@ -555,7 +555,7 @@
 		tr_place_result res =
 			tr_place(&views[vm], &req, &random, now, &p);
 
-		tr_service_stats_track_queue(svc, p.least_takes, AIM, now);
+		tr_service_stats_track_queue(svc, p.shortest_time, AIM, now);
 		if (res == TR_PLACE_FOUND)
 			send(vm, p.row, now);
 		else
@@ -638,9 +638,9 @@
 
 			for (size_t o = 0; o < 32; o++)
 				if (o != v)
-					tr_allowance_heard(&vms[o], &bound,
-							   &told[v], &own, now,
-							   now);
+					tr_allowance_reported(&vms[o], &bound,
+							      &told[v], &own,
+							      now, now);
 			told[v] = own;
 		}
 	}
@@ -696,8 +696,8 @@
 	tr_work_totals before = { 65530, 10 };
 	tr_work_totals told = { 4, 10 };
 
-	tr_allowance_heard(&a, &bound, &before, &told, TR_SEC(1000),
-			   TR_SEC(1000));
+	tr_allowance_reported(&a, &bound, &before, &told, TR_SEC(1000),
+			      TR_SEC(1000));
 	EXPECT_EQ(a.requests[a.part % TR_ALLOWANCE_SLOTS], 10u);
 	EXPECT_EQ(a.repeats[a.part % TR_ALLOWANCE_SLOTS], 0u);
 }
--- a/tests/send_limit_load_test.cc
+++ b/tests/send_limit_load_test.cc
@@ -131,7 +131,7 @@
 
 		tr_send_limits_release(&vm.limits);
 		vm.place = tr_send_limits_add(&vm.limits, 7);
-		tr_send_limit_named(&vm.limits, vm.place, load.limit, now, now);
+		tr_send_limit_set(&vm.limits, vm.place, load.limit, now, now);
 		vm.told.assign(vms.size(), 0);
 		for (Vm &other : vms)
 			if (other.told.size() > i)
@@ -198,7 +198,7 @@
 			Vm &vm = vms[m.to];
 
 			inbox.pop_front();
-			tr_send_limit_heard(
+			tr_send_limit_reported(
 				&vm.limits.rows[vm.place],
 				(uint16_t)(m.sent - vm.told[m.from]), heard(vm),
 				now);
--- a/tests/send_limit_test.cc
+++ b/tests/send_limit_test.cc
@@ -26,7 +26,7 @@
 
 	tr_send_limit_change named(double rate, apr_time_t at)
 	{
-		return tr_send_limit_named(&limits, place, rate, at, now);
+		return tr_send_limit_set(&limits, place, rate, at, now);
 	}
 
 	double tokens_in(apr_time_t after, double share = 1)
@@ -50,7 +50,7 @@
 	now += TR_SEC(1);
 	tr_send_limit_sent(row(), 1, now);
 	EXPECT_DOUBLE_EQ(tokens_in(0), 1);
-	tr_send_limit_heard(row(), 3, 1, now);
+	tr_send_limit_reported(row(), 3, 1, now);
 	EXPECT_DOUBLE_EQ(tokens_in(0), -2);
 	EXPECT_DOUBLE_EQ(tokens_in(TR_MSEC(1500)), 1);
 	EXPECT_EQ(row()->sent, 1);
@@ -61,7 +61,7 @@
 TEST_F(SendLimit, AnOldTotalIsNoDebtForLong)
 {
 	named(1, now);
-	tr_send_limit_heard(row(), 60000, 1, now);
+	tr_send_limit_reported(row(), 60000, 1, now);
 	EXPECT_GE(tokens_in(TR_SEC(7)), 1);
 }
 
@@ -87,9 +87,8 @@
 	EXPECT_EQ(named(2, now + TR_SEC(1)), TR_SEND_LIMIT_CHANGED);
 	EXPECT_EQ(named(2.1, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(row()->rate, 2.1);
-	EXPECT_EQ(tr_send_limit_lifted(&limits, place, now),
-		  TR_SEND_LIMIT_SAME);
-	EXPECT_EQ(tr_send_limit_lifted(&limits, place, now + TR_SEC(3)),
+	EXPECT_EQ(tr_send_limit_clear(&limits, place, now), TR_SEND_LIMIT_SAME);
+	EXPECT_EQ(tr_send_limit_clear(&limits, place, now + TR_SEC(3)),
 		  TR_SEND_LIMIT_ENDED);
 	EXPECT_EQ(limits.holding, 0u);
 	EXPECT_EQ(named(2, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
@@ -100,9 +99,9 @@
 TEST_F(SendLimit, AnAnswerWithoutOneEndsItOnlyLater)
 {
 	named(1, now);
-	EXPECT_EQ(tr_send_limit_unnamed(&limits, place, now + TR_MSEC(20)),
+	EXPECT_EQ(tr_send_limit_absent(&limits, place, now + TR_MSEC(20)),
 		  TR_SEND_LIMIT_SAME);
-	EXPECT_EQ(tr_send_limit_unnamed(&limits, place, now + TR_SEC(2)),
+	EXPECT_EQ(tr_send_limit_absent(&limits, place, now + TR_SEC(2)),
 		  TR_SEND_LIMIT_ENDED);
 }
 
@@ -111,7 +110,7 @@
 	named(1, now);
 	EXPECT_FALSE(tr_send_limit_is_stale(row(), now + TR_SEC(9)));
 	EXPECT_TRUE(tr_send_limit_is_stale(row(), now + TR_SEC(11)));
-	tr_send_limits_forget(&limits, place);
+	tr_send_limits_deactivate(&limits, place);
 	EXPECT_EQ(limits.holding, 0u);
 	EXPECT_EQ(named(1, now + TR_MSEC(1)), TR_SEND_LIMIT_BEGAN);
 }
@@ -128,11 +127,11 @@
 		apr_time_t age = now - newest;
 
 		now += way;
-		newest = std::max(newest, tr_send_limit_said_at(age, now));
+		newest = std::max(newest, tr_send_limit_report_time(age, now));
 		named(1, newest);
 	}
 	EXPECT_EQ(newest, said);
-	EXPECT_EQ(tr_send_limit_unnamed(&limits, place, now),
+	EXPECT_EQ(tr_send_limit_absent(&limits, place, now),
 		  TR_SEND_LIMIT_ENDED);
 }
 
@@ -141,7 +140,7 @@
 	uint32_t other = tr_send_limits_add(&limits, 8);
 
 	named(1, now);
-	tr_send_limits_drop(&limits, place);
+	tr_send_limits_remove(&limits, place);
 	EXPECT_EQ(limits.holding, 0u);
 	EXPECT_EQ(tr_send_limits_add(&limits, 9), place);
 	EXPECT_EQ(limits.rows[other].target, 8u);
--- a/tests/spread_test.cc
+++ b/tests/spread_test.cc
@@ -90,7 +90,7 @@
 
 	void ask(Vm &vm)
 	{
-		const tr_node *holder = tr_spread_holder(
+		const tr_node *holder = tr_spread_choose_source(
 			&vm.spread, &vm.members, vm.held, 0, &random, now);
 
 		if (!holder)
@@ -98,7 +98,7 @@
 		Vm &from = vms[holder->ip - 1];
 
 		if (from.down ||
-		    !tr_spread_may_serve(&from.link, copy_bytes, now)) {
+		    !tr_spread_link_reserve(&from.link, copy_bytes, now)) {
 			turned_away++;
 			tr_spread_failed(&vm.spread, holder->ip, &random, now);
 			return;
@@ -263,9 +263,9 @@
 	fleet.tell();
 	for (int i = 0; i < 40; i++) {
 		fleet.now += TR_MSEC(25);
-		EXPECT_EQ(tr_spread_holder(&fleet.vms[1].spread,
-					   &fleet.vms[1].members, 1, 5,
-					   &fleet.random, fleet.now),
+		EXPECT_EQ(tr_spread_choose_source(&fleet.vms[1].spread,
+						  &fleet.vms[1].members, 1, 5,
+						  &fleet.random, fleet.now),
 			  nullptr);
 	}
 }
@@ -280,13 +280,13 @@
 	fleet.tell();
 	Vm &vm = fleet.vms[12];
 
-	tr_spread_holder(&vm.spread, &vm.members, 1, 0, &fleet.random,
-			 fleet.now);
+	tr_spread_choose_source(&vm.spread, &vm.members, 1, 0, &fleet.random,
+				fleet.now);
 	fleet.now += TR_MSEC(100);
 	for (int i = 0; i < 50; i++) {
 		const tr_node *holder =
-			tr_spread_holder(&vm.spread, &vm.members, 1, 0,
-					 &fleet.random, fleet.now);
+			tr_spread_choose_source(&vm.spread, &vm.members, 1, 0,
+						&fleet.random, fleet.now);
 
 		ASSERT_NE(holder, nullptr);
 		EXPECT_STREQ(holder->data_centre, "dc-0");
@@ -299,9 +299,9 @@
 	apr_time_t now = TR_SEC(1);
 
 	link.bytes_a_second = 1.25e6;
-	EXPECT_TRUE(tr_spread_may_serve(&link, 200000, now));
-	EXPECT_FALSE(tr_spread_may_serve(&link, 200000, now));
-	EXPECT_TRUE(tr_spread_may_serve(&link, 200000, now + TR_MSEC(161)));
+	EXPECT_TRUE(tr_spread_link_reserve(&link, 200000, now));
+	EXPECT_FALSE(tr_spread_link_reserve(&link, 200000, now));
+	EXPECT_TRUE(tr_spread_link_reserve(&link, 200000, now + TR_MSEC(161)));
 }
 
 std::string many_routes()
