--- a/entry/entry.c
+++ b/entry/entry.c
@@ -75,8 +75,8 @@
 	for (unsigned i = 0; o && i < o->count; i++) {
 		struct tr_organisation *row = &o->rows[i];
 
-		row->known_as = tr_limits_find_or_add(&e->limits, row->name);
-		tr_limit_set(&e->limits.rows[row->known_as], row->rate,
+		row->row_index = tr_limits_find_or_add(&e->limits, row->name);
+		tr_limit_set(&e->limits.rows[row->row_index], row->rate,
 			     row->burst, entry_now(e));
 	}
 }
@@ -85,7 +85,7 @@
 			 const char *from)
 {
 	for (unsigned i = 0; i < routes->services_count; i++)
-		routes->services[i].known_as =
+		routes->services[i].row_index =
 			tr_roster_service(&e->roster, routes->services[i].name);
 	eventlog(EVENT_BELIEF, "routes",
 		 "version=%" G_GUINT64_FORMAT " revision=%" G_GUINT64_FORMAT
@@ -93,7 +93,7 @@
 		 (guint64)routes->version, (guint64)routes->revision,
 		 routes->routes_count, from);
 	set_limits(e, routes->organisations);
-	tr_routes_drop(e->routes);
+	tr_routes_unref(e->routes);
 	e->routes = routes;
 	e->members.nodes[0].held[TR_RESOURCE_ROUTES] = routes->revision;
 	e->front.limits = routes->limits;
--- a/entry/entry_settings.c
+++ b/entry/entry_settings.c
@@ -114,9 +114,9 @@
 	for (int i = 0; i < TR_MECHANISMS; i++)
 		g_string_append_printf(names, " %s",
 				       tr_mechanism_name((enum tr_mechanism)i));
-	tr_mechanisms_all_on();
+	tr_mechanisms_enable_all();
 	for (unsigned i = 0; i < s->switched_off_count; i++)
-		if (tr_mechanism_switch_off(s->switched_off[i]))
+		if (tr_mechanism_disable(s->switched_off[i]))
 			return tr_error_set(err, TR_OUT_OF_RANGE,
 					    "switched_off", s->switched_off[i],
 					    "%s", names->str);
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -109,7 +109,7 @@
 		.spread = spread_at(x, p),
 		.queued = p->wait > 0,
 		.keeps = x->keeps,
-		.ends_known = tr_fatal_known(&e->fatals, x->identity),
+		.ends_known = tr_fatal_count_ends(&e->fatals, x->identity),
 	};
 	int res;
 
@@ -142,7 +142,7 @@
 		return "unproven";
 	verdict = exchange_fatal_admit(x);
 	if (verdict == TR_FATAL_REFUSE) {
-		x->return_after = tr_fatal_return_after(
+		x->return_after = tr_fatal_retry_after(
 			&x->e->fatals, x->identity, entry_now(x->e));
 		return "crashes-targets";
 	}
@@ -187,7 +187,7 @@
 					  entry_now(x->e));
 	struct tr_placement p;
 
-	if (!tr_mechanism_on(TR_MECH_SECONDING))
+	if (!tr_mechanism_enabled(TR_MECH_SECONDING))
 		return;
 	if (x->route->kind != TR_KIND_SAFE || x->runs >= x->route->attempts ||
 	    !free_try(x) || risk < SECOND_RISK)
@@ -284,7 +284,7 @@
 		return;
 	/* What never reached a target is no repeat for the fleet's bound. */
 	if (how == UPSTREAM_UNREACHED ||
-	    (tr_mechanism_on(TR_MECH_REPEAT_REFUSED) && may_repeat(x))) {
+	    (tr_mechanism_enabled(TR_MECH_REPEAT_REFUSED) && may_repeat(x))) {
 		why = exchange_send(x);
 		if (!why)
 			return;
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -139,11 +139,11 @@
 	x->e = e;
 	x->caller = caller;
 	caller->work = x;
-	x->routes = tr_routes_hold(e->routes);
+	x->routes = tr_routes_ref(e->routes);
 	x->route = route;
 	x->organisation = organisation;
 	x->keeps = route->kind == TR_KIND_SAFE &&
-		   tr_mechanism_on(TR_MECH_KEPT_CONNECTIONS);
+		   tr_mechanism_enabled(TR_MECH_KEPT_CONNECTIONS);
 	x->keyed = x->routes->organisations && !route->open;
 	x->next = e->exchanges;
 	if (x->next)
@@ -153,9 +153,9 @@
 	e->draw = fmod(e->draw + GOLDEN, 1);
 	x->service =
 		x->routes
-			->services[route->split[tr_split_draw(route, e->draw)]
+			->services[route->split[tr_split_choose(route, e->draw)]
 					   .service]
-			.known_as;
+			.row_index;
 	x->id = g_strdup(message_header(in, e->dialect->request_id));
 	x->method =
 		g_strdup(http_method_str((enum http_method)in->parser.method));
--- a/entry/exchange_fatal.c
+++ b/entry/exchange_fatal.c
@@ -43,8 +43,8 @@
 		 "again_in_ms=%ld",
 		 identity, change_words[change], row->ends_count, row->tries,
 		 ends_text(row, ends, sizeof(ends)),
-		 (long)(tr_fatal_return_after(&e->fatals, identity,
-					      entry_now(e)) /
+		 (long)(tr_fatal_retry_after(&e->fatals, identity,
+					     entry_now(e)) /
 			1000));
 }
 
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -33,7 +33,7 @@
 	if (!o)
 		return;
 	caller->counted = true;
-	tr_limit_arrived(&e->limits.rows[o->known_as], &e->limit_bound,
+	tr_limit_arrived(&e->limits.rows[o->row_index], &e->limit_bound,
 			 entry_now(e));
 	mesh_tell_soon(e->mesh);
 }
@@ -42,7 +42,7 @@
 static bool is_within_limit(struct entry *e, struct caller *caller,
 			    const struct tr_organisation *organisation)
 {
-	struct tr_limit *l = &e->limits.rows[organisation->known_as];
+	struct tr_limit *l = &e->limits.rows[organisation->row_index];
 	apr_time_t now = entry_now(e);
 	const struct tr_limit_fleet heard = {
 		.share = tr_membership_recent_share(&e->members, now),
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -46,7 +46,7 @@
 	if (x->next)
 		x->next->prev = x->prev;
 	e->exchanges_count--;
-	tr_routes_drop(x->routes);
+	tr_routes_unref(x->routes);
 	if (x->head)
 		g_string_free(x->head, TRUE);
 	if (x->body)
--- a/entry/mesh_fatal.c
+++ b/entry/mesh_fatal.c
@@ -10,7 +10,7 @@
 #define BYTES_A_FATAL 32
 #define BYTES_AN_END  12
 
-_Static_assert(MESH_MAX_ENDS == TR_FATAL_ENDS,
+_Static_assert(MESH_MAX_ENDS == TR_FATAL_ENDS_MAX,
 	       "what a message tells of a request is what a row holds");
 
 /* 0 is never, so what happened just now is 1 ms old. */
@@ -71,12 +71,14 @@
 {
 	struct tr_fatal rows[MESH_MAX_FATALS];
 	unsigned most = rows_in(room);
-	unsigned news = tr_fatal_tell_news(&mesh->e->fatals, rows, most, now);
+	unsigned news =
+		tr_fatal_collect_changed(&mesh->e->fatals, rows, most, now);
 	unsigned again = most - news;
 
 	if (again > FATALS_AGAIN)
 		again = FATALS_AGAIN;
-	again = tr_fatal_tell_again(&mesh->e->fatals, &rows[news], again, now);
+	again = tr_fatal_collect_recent(&mesh->e->fatals, &rows[news], again,
+					now);
 	add(msg, lists, rows, news + again, now);
 	return news > 0;
 }
@@ -94,7 +96,7 @@
 	struct tr_fatal rows[MESH_MAX_FATALS];
 
 	add(msg, lists, rows,
-	    tr_fatal_tell_again(&mesh->e->fatals, rows, rows_in(room), now),
+	    tr_fatal_collect_recent(&mesh->e->fatals, rows, rows_in(room), now),
 	    now);
 }
 
@@ -149,8 +151,9 @@
 			.ended = time_of(end->ended_ms, now),
 		};
 	}
-	exchange_fatal_log(e, row.identity,
-			   tr_fatal_heard(&e->fatals, &row, &e->random, now));
+	exchange_fatal_log(
+		e, row.identity,
+		tr_fatal_reported(&e->fatals, &row, &e->random, now));
 }
 
 /* Take in what another VM, of this group or another, tells. */
--- a/entry/mesh_proof.c
+++ b/entry/mesh_proof.c
@@ -14,8 +14,8 @@
 	if (!e->routes || !e->routes->organisations ||
 	    !e->settings->bounds.fail_closed)
 		return;
-	node = tr_proof_ask(&e->proof, &e->members, e->settings->key_proof_us,
-			    &e->random, now);
+	node = tr_proof_query(&e->proof, &e->members, e->settings->key_proof_us,
+			      &e->random, now);
 	if (!node)
 		return;
 	mesh_fill_head(mesh, &msg);
@@ -47,5 +47,5 @@
 	if (!msg->answers || msg->proof_age_ms == UINT32_MAX || !e->routes ||
 	    msg->config_revision > e->routes->revision)
 		return;
-	tr_proof_answered(&e->proof, msg->answers, TR_MSEC(msg->proof_age_ms));
+	tr_proof_reply(&e->proof, msg->answers, TR_MSEC(msg->proof_age_ms));
 }
--- a/entry/mesh_send.c
+++ b/entry/mesh_send.c
@@ -135,7 +135,7 @@
 	if (!len)
 		return;
 	tell_where(mesh, true, buf, len, now);
-	if (!tr_mechanism_on(TR_MECH_CENTRE_RELAY)) {
+	if (!tr_mechanism_enabled(TR_MECH_CENTRE_RELAY)) {
 		tell_where(mesh, false, buf, len, now);
 		return;
 	}
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -55,7 +55,7 @@
 	struct tr_send_limit *l;
 	uint32_t place;
 
-	if (notice->limit_is == TR_NOTICE_GIVEN) {
+	if (notice->limit_state == TR_NOTICE_GIVEN) {
 		place = tr_roster_limit_index(&e->roster, row);
 		change = tr_send_limit_set(limits, place, notice->limit, now,
 					   now);
@@ -112,14 +112,14 @@
 	if (!row->used || row->hash != hash)
 		return;
 	e->dialect->read_notice(answer, &notice);
-	if (notice.limit_is == TR_NOTICE_UNREADABLE)
+	if (notice.limit_state == TR_NOTICE_INVALID)
 		log_unreadable(e, row, "limit", "requests a second");
 	else
 		take_limit(e, row, &notice, answer->parser.status_code);
 	if (notice.leaving && notices_take_leaving(e, row, "answer"))
 		mesh_tell_leaving(e->mesh, row->hash);
-	if (notice.rest_is == TR_NOTICE_UNREADABLE)
+	if (notice.rest_state == TR_NOTICE_INVALID)
 		log_unreadable(e, row, "rest", "seconds");
-	else if (notice.rest_is == TR_NOTICE_GIVEN)
+	else if (notice.rest_state == TR_NOTICE_GIVEN)
 		take_rest(row, notice.rest, entry_now(e));
 }
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -286,7 +286,7 @@
 	mesh_close(e->mesh);
 	tr_membership_release(&e->members);
 	tr_roster_release(&e->roster);
-	tr_routes_drop(e->routes);
+	tr_routes_unref(e->routes);
 	g_free(e->allowances);
 	tr_limits_release(&e->limits);
 	tr_fatal_release(&e->fatals);
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -56,7 +56,7 @@
 {
 	apr_time_t now = entry_now(u->e);
 	bool is_news = symptom == TR_SYMPTOM_FAILED &&
-		       tr_mechanism_on(TR_MECH_FIRST_FAILURE_NEWS) &&
+		       tr_mechanism_enabled(TR_MECH_FIRST_FAILURE_NEWS) &&
 		       tr_gray_probability(&row->gray, now) < KNOWN_GRAY;
 
 	row->own.count[symptom]++;
@@ -502,7 +502,7 @@
 	if (!u->connected)
 		return u->began + CONNECT_TIMEOUT;
 	while (u->stage < TR_STAGE_OVERDUE &&
-	       tr_mechanism_on(TR_MECH_RUNNING_AGE)) {
+	       tr_mechanism_enabled(TR_MECH_RUNNING_AGE)) {
 		enum tr_request_stage next =
 			(enum tr_request_stage)(u->stage + 1);
 		apr_time_t at =
--- a/fuzz/fuzz_store.c
+++ b/fuzz/fuzz_store.c
@@ -27,7 +27,7 @@
 	struct tr_error err = { 0 };
 
 	platform_dialect.read_target(&item, &record, &err);
-	tr_routes_drop(platform_dialect.read_routes(&item, &err));
+	tr_routes_unref(platform_dialect.read_routes(&item, &err));
 }
 
 /* What a target says of itself: every number that is given can be used. */
--- a/lib/fatal.c
+++ b/lib/fatal.c
@@ -112,7 +112,7 @@
 
 static struct tr_fatal *new_row(struct tr_fatals *fatals)
 {
-	if (fatals->count == TR_FATAL_ROWS)
+	if (fatals->count == TR_FATAL_ROWS_MAX)
 		return least(fatals);
 	if (fatals->count == fatals->room) {
 		fatals->room = fatals->room ? fatals->room * 2 : ROOM_FIRST;
@@ -169,7 +169,7 @@
 		return;
 	/* The last gives way: while none was sent after another's end was
 	 * known, a later one tells more. */
-	if (row->ends_count == TR_FATAL_ENDS)
+	if (row->ends_count == TR_FATAL_ENDS_MAX)
 		row->ends_count--;
 	for (at = row->ends_count; at && row->ends[at - 1].ended > end->ended;
 	     at--)
@@ -290,7 +290,7 @@
 }
 
 /* How many targets are known to have ended under the request. */
-unsigned tr_fatal_known(const struct tr_fatals *fatals, uint64_t identity)
+unsigned tr_fatal_count_ends(const struct tr_fatals *fatals, uint64_t identity)
 {
 	const struct tr_fatal *row = tr_fatal_find(fatals, identity);
 
@@ -300,12 +300,12 @@
 /* May the request be sent to one more target for the same caller? */
 bool tr_fatal_may_repeat(const struct tr_fatals *fatals, uint64_t identity)
 {
-	return tr_fatal_known(fatals, identity) < ENDS_SUSPECT;
+	return tr_fatal_count_ends(fatals, identity) < ENDS_SUSPECT;
 }
 
 /* When a caller that is refused may come back, in us from now. */
-apr_time_t tr_fatal_return_after(const struct tr_fatals *fatals,
-				 uint64_t identity, apr_time_t now)
+apr_time_t tr_fatal_retry_after(const struct tr_fatals *fatals,
+				uint64_t identity, apr_time_t now)
 {
 	const struct tr_fatal *row = tr_fatal_find(fatals, identity);
 
@@ -347,9 +347,9 @@
 }
 
 /* Another VM has told what it knows, in this VM's time. */
-enum tr_fatal_change tr_fatal_heard(struct tr_fatals *fatals,
-				    const struct tr_fatal *reported,
-				    struct tr_random *random, apr_time_t now)
+enum tr_fatal_change tr_fatal_reported(struct tr_fatals *fatals,
+				       const struct tr_fatal *reported,
+				       struct tr_random *random, apr_time_t now)
 {
 	enum tr_fatal_change change = TR_FATAL_SAME;
 	struct tr_fatal *row = find(fatals, reported->identity);
@@ -392,8 +392,9 @@
  * needs any more are forgotten here. How many rows were written to told, which
  * has room for most.
  */
-unsigned tr_fatal_tell_news(struct tr_fatals *fatals, struct tr_fatal *reported,
-			    unsigned most, apr_time_t now)
+unsigned tr_fatal_collect_changed(struct tr_fatals *fatals,
+				  struct tr_fatal *reported, unsigned most,
+				  apr_time_t now)
 {
 	unsigned n = 0;
 
@@ -411,9 +412,9 @@
 
 /* What is refused or was news not long ago, in turn, since messages get lost
  * and VMs start. How many rows were written to told. */
-unsigned tr_fatal_tell_again(struct tr_fatals *fatals,
-			     struct tr_fatal *reported, unsigned most,
-			     apr_time_t now)
+unsigned tr_fatal_collect_recent(struct tr_fatals *fatals,
+				 struct tr_fatal *reported, unsigned most,
+				 apr_time_t now)
 {
 	unsigned n = 0;
 
--- a/lib/fatal.h
+++ b/lib/fatal.h
@@ -7,8 +7,8 @@
 
 #include "hash.h"
 
-#define TR_FATAL_ROWS 256
-#define TR_FATAL_ENDS 6
+#define TR_FATAL_ROWS_MAX 256
+#define TR_FATAL_ENDS_MAX 6
 
 /* A target that ended while it ran the request; known is how many such ends the
  * VM that sent it knew of at that time. */
@@ -27,7 +27,7 @@
  */
 struct tr_fatal {
 	uint64_t identity;
-	struct tr_fatal_end ends[TR_FATAL_ENDS];
+	struct tr_fatal_end ends[TR_FATAL_ENDS_MAX];
 	unsigned ends_count;
 	apr_time_t answered_at;
 	apr_time_t refused_since;
@@ -66,22 +66,24 @@
 enum tr_fatal_verdict tr_fatal_admit(struct tr_fatals *fatals,
 				     uint64_t identity,
 				     struct tr_random *random, apr_time_t now);
-unsigned tr_fatal_known(const struct tr_fatals *fatals, uint64_t identity);
+unsigned tr_fatal_count_ends(const struct tr_fatals *fatals, uint64_t identity);
 bool tr_fatal_may_repeat(const struct tr_fatals *fatals, uint64_t identity);
-apr_time_t tr_fatal_return_after(const struct tr_fatals *fatals,
-				 uint64_t identity, apr_time_t now);
+apr_time_t tr_fatal_retry_after(const struct tr_fatals *fatals,
+				uint64_t identity, apr_time_t now);
 enum tr_fatal_change tr_fatal_ended(struct tr_fatals *fatals, uint64_t identity,
 				    const struct tr_fatal_end *end,
 				    struct tr_random *random, apr_time_t now);
 enum tr_fatal_change tr_fatal_answered(struct tr_fatals *fatals,
 				       uint64_t identity, apr_time_t now);
-enum tr_fatal_change tr_fatal_heard(struct tr_fatals *fatals,
-				    const struct tr_fatal *reported,
-				    struct tr_random *random, apr_time_t now);
-unsigned tr_fatal_tell_news(struct tr_fatals *fatals, struct tr_fatal *reported,
-			    unsigned most, apr_time_t now);
-unsigned tr_fatal_tell_again(struct tr_fatals *fatals,
-			     struct tr_fatal *reported, unsigned most,
-			     apr_time_t now);
+enum tr_fatal_change tr_fatal_reported(struct tr_fatals *fatals,
+				       const struct tr_fatal *reported,
+				       struct tr_random *random,
+				       apr_time_t now);
+unsigned tr_fatal_collect_changed(struct tr_fatals *fatals,
+				  struct tr_fatal *reported, unsigned most,
+				  apr_time_t now);
+unsigned tr_fatal_collect_recent(struct tr_fatals *fatals,
+				 struct tr_fatal *reported, unsigned most,
+				 apr_time_t now);
 
 #endif
--- a/lib/group.c
+++ b/lib/group.c
@@ -149,7 +149,8 @@
 
 	m->groups_count = 0;
 	if (tr_membership_size(m) <= SINGLE_GROUP_MAX ||
-	    !*m->nodes[0].data_centre || !tr_mechanism_on(TR_MECH_GROUPS)) {
+	    !*m->nodes[0].data_centre ||
+	    !tr_mechanism_enabled(TR_MECH_GROUPS)) {
 		add_group(m, no_data_centre, 0);
 	} else {
 		add_data_centre_groups(m);
--- a/lib/mechanism.c
+++ b/lib/mechanism.c
@@ -26,13 +26,13 @@
 
 static bool off[TR_MECHANISMS];
 
-bool tr_mechanism_on(enum tr_mechanism mechanism)
+bool tr_mechanism_enabled(enum tr_mechanism mechanism)
 {
 	return !off[mechanism];
 }
 
 /* Switch one off by its name. 0, or -1 when there is none of that name. */
-int tr_mechanism_switch_off(const char *name)
+int tr_mechanism_disable(const char *name)
 {
 	for (int i = 0; i < TR_MECHANISMS; i++) {
 		if (strcmp(names[i], name) != 0)
@@ -43,7 +43,7 @@
 	return -1;
 }
 
-void tr_mechanisms_all_on(void)
+void tr_mechanisms_enable_all(void)
 {
 	memset(off, 0, sizeof(off));
 }
--- a/lib/mechanism.h
+++ b/lib/mechanism.h
@@ -24,9 +24,9 @@
 	TR_MECHANISMS,
 };
 
-bool tr_mechanism_on(enum tr_mechanism mechanism);
-int tr_mechanism_switch_off(const char *name);
-void tr_mechanisms_all_on(void);
+bool tr_mechanism_enabled(enum tr_mechanism mechanism);
+int tr_mechanism_disable(const char *name);
+void tr_mechanisms_enable_all(void);
 const char *tr_mechanism_name(enum tr_mechanism mechanism);
 
 #endif
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -564,7 +564,8 @@
 {
 	const struct tr_node *chosen[READERS];
 
-	unsigned readers = tr_mechanism_on(TR_MECH_TWO_READERS) ? READERS : 1;
+	unsigned readers =
+		tr_mechanism_enabled(TR_MECH_TWO_READERS) ? READERS : 1;
 
 	for (unsigned n = 0; n < readers; n++) {
 		chosen[n] = best_reader(m, chosen, n, true, now);
--- a/lib/notice.c
+++ b/lib/notice.c
@@ -13,7 +13,7 @@
  * rates; NULL is absent. What can't be read is told apart from what is absent,
  * so that nonsense neither sets nor lifts anything.
  */
-enum tr_notice_value tr_notice_decimal(const char *text, double *value)
+enum tr_notice_value tr_notice_parse_decimal(const char *text, double *value)
 {
 	size_t len = text ? strlen(text) : 0;
 	size_t number;
@@ -27,7 +27,7 @@
 		number += 1 + strspn(text + number + 1, DIGITS);
 	if (!number || number != len || text[number - 1] == '.' ||
 	    len > DECIMAL_MOST)
-		return TR_NOTICE_UNREADABLE;
+		return TR_NOTICE_INVALID;
 	*value = strtod(text, NULL);
 	return TR_NOTICE_GIVEN;
 }
--- a/lib/notice.h
+++ b/lib/notice.h
@@ -8,7 +8,7 @@
 enum tr_notice_value {
 	TR_NOTICE_ABSENT,
 	TR_NOTICE_GIVEN,
-	TR_NOTICE_UNREADABLE,
+	TR_NOTICE_INVALID,
 };
 
 /*
@@ -18,12 +18,12 @@
  */
 struct tr_notice {
 	bool leaving;
-	enum tr_notice_value limit_is;
+	enum tr_notice_value limit_state;
 	double limit;
-	enum tr_notice_value rest_is;
+	enum tr_notice_value rest_state;
 	apr_time_t rest;
 };
 
-enum tr_notice_value tr_notice_decimal(const char *text, double *value);
+enum tr_notice_value tr_notice_parse_decimal(const char *text, double *value);
 
 #endif
--- a/lib/organisation.c
+++ b/lib/organisation.c
@@ -88,7 +88,7 @@
 
 /* Check what was filled in and put the keys in the order of look-ups. 0, or -1
  * and err, which names the organisation and never a key. */
-int tr_organisations_seal(struct tr_organisations *o, struct tr_error *err)
+int tr_organisations_finalize(struct tr_organisations *o, struct tr_error *err)
 {
 	for (unsigned i = 0; i < o->count; i++)
 		if (check_organisation(&o->rows[i], err))
--- a/lib/organisation.h
+++ b/lib/organisation.h
@@ -13,15 +13,15 @@
 /*
  * Whoever sends requests under keys of its own. rate is in requests a second
  * over the whole fleet, burst in requests on top of it; a rate of 0 sets no
- * limit. known_as is its row among the limits of the VM.
+ * limit. row_index is its row among the limits of the VM.
  */
 struct tr_organisation {
 	char *name;
 	double rate;
 	double burst;
-	bool ranked;
+	bool has_priority;
 	uint32_t priority;
-	uint32_t known_as;
+	uint32_t row_index;
 };
 
 /* A caller's key as it is kept: its digest, and who holds it. */
@@ -43,7 +43,7 @@
 struct tr_organisations *tr_organisations_new(unsigned count);
 int tr_organisations_add_key(struct tr_organisations *o, const char *key,
 			     uint32_t organisation);
-int tr_organisations_seal(struct tr_organisations *o, struct tr_error *err);
+int tr_organisations_finalize(struct tr_organisations *o, struct tr_error *err);
 struct tr_organisation *tr_organisations_find(const struct tr_organisations *o,
 					      const char *key);
 void tr_organisations_free(struct tr_organisations *o);
--- a/lib/place.c
+++ b/lib/place.c
@@ -106,7 +106,7 @@
 {
 	double again = (double)(req->failure_age + req->usual);
 
-	if (!req->may_repeat || !tr_mechanism_on(TR_MECH_SCOUTS))
+	if (!req->may_repeat || !tr_mechanism_enabled(TR_MECH_SCOUTS))
 		return LOSS;
 	return REPEAT_COST + late_cost(req, again) -
 	       late_cost(req, (double)req->usual);
@@ -118,7 +118,7 @@
 	double away = AWAY_COST + (double)req->body_bytes / AWAY_BODY;
 
 	if (!strcmp(row->data_centre, req->data_centre) ||
-	    !tr_mechanism_on(TR_MECH_CENTRE_PREFERENCE))
+	    !tr_mechanism_enabled(TR_MECH_CENTRE_PREFERENCE))
 		return 0;
 	return fmin(away, AWAY_COST_MOST);
 }
@@ -158,7 +158,7 @@
 {
 	apr_time_t left = req->time_left;
 
-	if (!tr_mechanism_on(TR_MECH_EARLY_REFUSAL))
+	if (!tr_mechanism_enabled(TR_MECH_EARLY_REFUSAL))
 		return true;
 	if (req->standing_queue && req->aim_left > req->usual)
 		left = req->aim_left;
@@ -227,7 +227,7 @@
 			   const struct tr_floor_load *load,
 			   struct tr_random *random)
 {
-	if (!tr_mechanism_on(TR_MECH_FLOOR) || !check->idle_count)
+	if (!tr_mechanism_enabled(TR_MECH_FLOOR) || !check->idle_count)
 		return TR_NO_ROW;
 	return tr_floor_check_pick(check, req->floor_share, load,
 				   tr_random_unit(random));
@@ -256,8 +256,8 @@
 	uint32_t drawn = draw_limited(roster, req, random, now);
 	uint32_t picked;
 
-	tr_floor_check_init(&check,
-			    req->may_repeat && tr_mechanism_on(TR_MECH_SCOUTS));
+	tr_floor_check_init(&check, req->may_repeat && tr_mechanism_enabled(
+							       TR_MECH_SCOUTS));
 	tr_floor_check_set_rotation(&check, &req->turns);
 	tr_floor_check_set_load(&check, &load);
 	placing->row = TR_NO_ROW;
@@ -295,7 +295,7 @@
 		if (!fits)
 			continue;
 		fitting++;
-		if (tr_mechanism_on(TR_MECH_BLUR))
+		if (tr_mechanism_enabled(TR_MECH_BLUR))
 			p.cost -= BLUR * gumbel(random);
 		if (p.cost < placing->cost)
 			*placing = p;
--- a/lib/proof.c
+++ b/lib/proof.c
@@ -58,10 +58,10 @@
  * Whom to ask now for a younger proof, or NULL. Ages that VMs told say only
  * whom to ask; one that was told too young costs a question.
  */
-const struct tr_node *tr_proof_ask(struct tr_proof *p,
-				   const struct tr_membership *m,
-				   apr_time_t bound, struct tr_random *random,
-				   apr_time_t now)
+const struct tr_node *tr_proof_query(struct tr_proof *p,
+				     const struct tr_membership *m,
+				     apr_time_t bound, struct tr_random *random,
+				     apr_time_t now)
 {
 	const struct tr_node *found = NULL;
 	apr_time_t wanted = p->at + (apr_time_t)(GAIN_PART * (double)bound);
@@ -92,7 +92,7 @@
 
 /* The question was answered: at the VM that was asked the same configuration,
  * or an older one, was the newest so long ago. */
-void tr_proof_answered(struct tr_proof *p, uint64_t question, apr_time_t age)
+void tr_proof_reply(struct tr_proof *p, uint64_t question, apr_time_t age)
 {
 	if (!question || question != p->question)
 		return;
--- a/lib/proof.h
+++ b/lib/proof.h
@@ -23,10 +23,10 @@
 void tr_proof_renew(struct tr_proof *p, apr_time_t at);
 apr_time_t tr_proof_age(const struct tr_proof *p, apr_time_t now);
 bool tr_proof_holds(const struct tr_proof *p, apr_time_t bound, apr_time_t now);
-const struct tr_node *tr_proof_ask(struct tr_proof *p,
-				   const struct tr_membership *m,
-				   apr_time_t bound, struct tr_random *random,
-				   apr_time_t now);
-void tr_proof_answered(struct tr_proof *p, uint64_t question, apr_time_t age);
+const struct tr_node *tr_proof_query(struct tr_proof *p,
+				     const struct tr_membership *m,
+				     apr_time_t bound, struct tr_random *random,
+				     apr_time_t now);
+void tr_proof_reply(struct tr_proof *p, uint64_t question, apr_time_t age);
 
 #endif
--- a/lib/route.c
+++ b/lib/route.c
@@ -22,18 +22,18 @@
 	r->services_count = services;
 	if (r->routes && r->services)
 		return r;
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 	return NULL;
 }
 
-struct tr_routes *tr_routes_hold(struct tr_routes *routes)
+struct tr_routes *tr_routes_ref(struct tr_routes *routes)
 {
 	routes->users++;
 	return routes;
 }
 
 /* Give up one use; the last one frees it. */
-void tr_routes_drop(struct tr_routes *r)
+void tr_routes_unref(struct tr_routes *r)
 {
 	if (!r || --r->users)
 		return;
@@ -58,7 +58,7 @@
 }
 
 /* The service's place in the snapshot, or -1. */
-int tr_routes_service(const struct tr_routes *routes, const char *name)
+int tr_routes_find_service(const struct tr_routes *routes, const char *name)
 {
 	for (unsigned i = 0; i < routes->services_count; i++)
 		if (!strcmp(routes->services[i].name, name))
@@ -104,7 +104,7 @@
 }
 
 /* Check a filled snapshot and put it in the order that matching needs. */
-int tr_routes_seal(struct tr_routes *r, struct tr_error *err)
+int tr_routes_finalize(struct tr_routes *r, struct tr_error *err)
 {
 	for (unsigned i = 0; i < r->routes_count; i++)
 		if (check_route(&r->routes[i], err))
@@ -169,7 +169,7 @@
 }
 
 /* The part of the split that a point from 0 up to 1 falls on. */
-unsigned tr_split_draw(const struct tr_path_route *route, double point)
+unsigned tr_split_choose(const struct tr_path_route *route, double point)
 {
 	double sum = 0;
 	double upto = 0;
--- a/lib/route.h
+++ b/lib/route.h
@@ -50,7 +50,7 @@
 	char *name;
 	char *health_path;
 	uint32_t connections;
-	uint32_t known_as;
+	uint32_t row_index;
 };
 
 /*
@@ -73,13 +73,13 @@
 };
 
 struct tr_routes *tr_routes_new(unsigned routes, unsigned services);
-struct tr_routes *tr_routes_hold(struct tr_routes *routes);
-void tr_routes_drop(struct tr_routes *routes);
-int tr_routes_seal(struct tr_routes *routes, struct tr_error *err);
-int tr_routes_service(const struct tr_routes *routes, const char *name);
+struct tr_routes *tr_routes_ref(struct tr_routes *routes);
+void tr_routes_unref(struct tr_routes *routes);
+int tr_routes_finalize(struct tr_routes *routes, struct tr_error *err);
+int tr_routes_find_service(const struct tr_routes *routes, const char *name);
 const struct tr_path_route *tr_routes_match(const struct tr_routes *routes,
 					    const char *host, size_t host_len,
 					    const char *path);
-unsigned tr_split_draw(const struct tr_path_route *route, double point);
+unsigned tr_split_choose(const struct tr_path_route *route, double point);
 
 #endif
--- a/lib/service_stats.c
+++ b/lib/service_stats.c
@@ -101,7 +101,7 @@
 /* Returns the spread of its response times; see tr_worktime_spread. */
 double tr_service_stats_spread(const struct tr_service_stats *s)
 {
-	if (!tr_mechanism_on(TR_MECH_SERVICE_SPREAD))
+	if (!tr_mechanism_enabled(TR_MECH_SERVICE_SPREAD))
 		return DEFAULT_SPREAD;
 	return tr_worktime_spread(&s->work_time);
 }
@@ -164,7 +164,7 @@
 void tr_service_stats_learn_gray_share(struct tr_service_stats *s, double share,
 				       double elapsed_s)
 {
-	if (!tr_mechanism_on(TR_MECH_LEARNED_SHARE))
+	if (!tr_mechanism_enabled(TR_MECH_LEARNED_SHARE))
 		return;
 	s->gray_share +=
 		(share - s->gray_share) * fmin(1, elapsed_s / GRAY_SHARE_S);
--- a/tests/fatal_load_test.cc
+++ b/tests/fatal_load_test.cc
@@ -109,7 +109,7 @@
 		}
 		sent.push_back(now);
 		running.push_back({ vm, identity, ++targets,
-				    tr_fatal_known(&v.fatals, identity),
+				    tr_fatal_count_ends(&v.fatals, identity),
 				    now + load.takes, may_repeat });
 	}
 
@@ -221,8 +221,8 @@
 		if (chance(load.loss))
 			return;
 		for (unsigned i = 0; i < n; i++)
-			tr_fatal_heard(&vms[to].fatals, &rows[i],
-				       &vms[to].random, now);
+			tr_fatal_reported(&vms[to].fatals, &rows[i],
+					  &vms[to].random, now);
 	}
 
 	void to_group(unsigned group, const struct tr_fatal *rows, unsigned n,
@@ -256,8 +256,9 @@
 				continue;
 			vm.news = false;
 			vm.told_at = now;
-			news = tr_fatal_tell_news(&vm.fatals, rows, ROWS, now);
-			n = news + tr_fatal_tell_again(
+			news = tr_fatal_collect_changed(&vm.fatals, rows, ROWS,
+							now);
+			n = news + tr_fatal_collect_recent(
 					   &vm.fatals, &rows[news],
 					   std::min(ROWS - news, AGAIN), now);
 			to_group(i / load.group, rows, n, i);
--- a/tests/fatal_test.cc
+++ b/tests/fatal_test.cc
@@ -36,8 +36,8 @@
 	/* The same, sent a moment ago. */
 	enum tr_fatal_change ended(uint32_t target, uint64_t identity = DEADLY)
 	{
-		return ended_when(tr_fatal_known(&fatals, identity), target,
-				  identity);
+		return ended_when(tr_fatal_count_ends(&fatals, identity),
+				  target, identity);
 	}
 
 	enum tr_fatal_verdict admit(uint64_t identity = DEADLY)
@@ -57,13 +57,13 @@
 	void tell(Knower *to)
 	{
 		struct tr_fatal rows[16];
-		unsigned n = tr_fatal_tell_news(&fatals, rows, 8, now);
+		unsigned n = tr_fatal_collect_changed(&fatals, rows, 8, now);
 
-		n += tr_fatal_tell_again(&fatals, &rows[n], 8, now);
+		n += tr_fatal_collect_recent(&fatals, &rows[n], 8, now);
 
 		for (unsigned i = 0; i < n; i++)
-			tr_fatal_heard(&to->fatals, &rows[i], &to->random,
-				       to->now);
+			tr_fatal_reported(&to->fatals, &rows[i], &to->random,
+					  to->now);
 	}
 };
 
@@ -88,8 +88,7 @@
 	EXPECT_EQ(vm.ended(3), TR_FATAL_REFUSED);
 	EXPECT_EQ(vm.admit(), TR_FATAL_REFUSE);
 	EXPECT_EQ(vm.admit(HARMLESS), TR_FATAL_PASS);
-	EXPECT_GT(tr_fatal_return_after(&vm.fatals, DEADLY, vm.now),
-		  TR_SEC(59));
+	EXPECT_GT(tr_fatal_retry_after(&vm.fatals, DEADLY, vm.now), TR_SEC(59));
 }
 
 /*
@@ -281,11 +280,11 @@
 	Knower vm;
 
 	vm.end_three();
-	for (uint32_t i = 0; i < 4 * TR_FATAL_ROWS; i++) {
+	for (uint32_t i = 0; i < 4 * TR_FATAL_ROWS_MAX; i++) {
 		vm.now += TR_MSEC(10);
 		vm.ended(100 + i, 1000 + i);
 	}
-	EXPECT_EQ(vm.fatals.count, (unsigned)TR_FATAL_ROWS);
+	EXPECT_EQ(vm.fatals.count, (unsigned)TR_FATAL_ROWS_MAX);
 	EXPECT_EQ(vm.admit(), TR_FATAL_REFUSE);
 }
 
@@ -297,11 +296,11 @@
 	vm.end_three();
 	vm.ended(9, HARMLESS);
 	vm.now += TR_SEC(601);
-	tr_fatal_tell_news(&vm.fatals, rows, 8, vm.now);
+	tr_fatal_collect_changed(&vm.fatals, rows, 8, vm.now);
 	EXPECT_EQ(tr_fatal_find(&vm.fatals, HARMLESS), nullptr);
 	EXPECT_NE(tr_fatal_find(&vm.fatals, DEADLY), nullptr);
 	vm.now += TR_SEC(7200);
-	tr_fatal_tell_news(&vm.fatals, rows, 8, vm.now);
+	tr_fatal_collect_changed(&vm.fatals, rows, 8, vm.now);
 	EXPECT_EQ(vm.fatals.count, 0u);
 }
 
--- a/tests/organisation_test.cc
+++ b/tests/organisation_test.cc
@@ -39,7 +39,7 @@
 
 TEST_F(Organisations, AKeyNamesItsHolder)
 {
-	ASSERT_EQ(tr_organisations_seal(all, &err), 0);
+	ASSERT_EQ(tr_organisations_finalize(all, &err), 0);
 	EXPECT_EQ(holder("ftimaj3nr26tta828m82"), "umuganda-coop");
 	EXPECT_EQ(holder("thhkmgjqnirth5mgjy5r"), "umuganda-coop");
 	EXPECT_EQ(holder("q7"), "agent-22");
@@ -50,7 +50,7 @@
 {
 	const std::string key = "ftimaj3nr26tta828m82";
 
-	ASSERT_EQ(tr_organisations_seal(all, &err), 0);
+	ASSERT_EQ(tr_organisations_finalize(all, &err), 0);
 	for (size_t n = 0; n < key.size(); n++)
 		EXPECT_EQ(holder(key.substr(0, n).c_str()), "") << n;
 	EXPECT_EQ(holder("FTIMAJ3NR26TTA828M82"), "");
@@ -76,7 +76,7 @@
 TEST_F(Organisations, AKeyThatTwoHoldIsRefused)
 {
 	tr_organisations_add_key(all, "ftimaj3nr26tta828m82", 1);
-	EXPECT_EQ(tr_organisations_seal(all, &err), -1);
+	EXPECT_EQ(tr_organisations_finalize(all, &err), -1);
 	EXPECT_EQ(err.code, TR_DUPLICATE);
 	EXPECT_EQ(std::string(err.expected).find("ftimaj"), std::string::npos);
 	EXPECT_STRNE(err.value, "ftimaj3nr26tta828m82");
@@ -85,7 +85,7 @@
 TEST_F(Organisations, AnOrganisationWithoutANameIsRefused)
 {
 	all->rows[1].name[0] = 0;
-	EXPECT_EQ(tr_organisations_seal(all, &err), -1);
+	EXPECT_EQ(tr_organisations_finalize(all, &err), -1);
 	EXPECT_STREQ(err.field, "name");
 }
 
@@ -94,14 +94,14 @@
 {
 	free(all->rows[1].name);
 	all->rows[1].name = strdup("a\r\nX-Admin: 1");
-	EXPECT_EQ(tr_organisations_seal(all, &err), -1);
+	EXPECT_EQ(tr_organisations_finalize(all, &err), -1);
 	EXPECT_STREQ(err.field, "name");
 }
 
 TEST_F(Organisations, ALimitBelowZeroIsRefused)
 {
 	all->rows[1].rate = -1;
-	EXPECT_EQ(tr_organisations_seal(all, &err), -1);
+	EXPECT_EQ(tr_organisations_finalize(all, &err), -1);
 	EXPECT_STREQ(err.value, "agent-22");
 }
 
@@ -110,7 +110,7 @@
 	tr_organisations *none = tr_organisations_new(0);
 	tr_error err{};
 
-	EXPECT_EQ(tr_organisations_seal(none, &err), 0);
+	EXPECT_EQ(tr_organisations_finalize(none, &err), 0);
 	EXPECT_EQ(tr_organisations_find(none, "q7"), nullptr);
 	tr_organisations_free(none);
 }
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -315,7 +315,7 @@
 	const tr_path_route *b = tr_routes_match(r, "h.example", 9, "/b/");
 	ASSERT_NE(b, nullptr);
 	EXPECT_STREQ(r->services[b->split[0].service].name, "s2");
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
 /* Every prefix of a configuration is no configuration. */
@@ -360,7 +360,7 @@
 	tr_routes *r = platform_dialect.read_routes(&item, &err);
 
 	EXPECT_NE(r, nullptr);
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
 /* The configuration with organisations, given as their rows. */
@@ -390,16 +390,16 @@
 		tr_organisations_find(r->organisations, "k2");
 	ASSERT_NE(coop, nullptr);
 	EXPECT_STREQ(coop->name, "coop");
-	EXPECT_TRUE(coop->ranked);
+	EXPECT_TRUE(coop->has_priority);
 	EXPECT_EQ(coop->rate, 114);
 	EXPECT_EQ(coop->burst, 57.5);
 	const tr_organisation *agent =
 		tr_organisations_find(r->organisations, "k3");
 	ASSERT_NE(agent, nullptr);
-	EXPECT_FALSE(agent->ranked);
+	EXPECT_FALSE(agent->has_priority);
 	EXPECT_EQ(agent->rate, 0);
 	EXPECT_EQ(tr_organisations_find(r->organisations, "k4"), nullptr);
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
 TEST(Platform, WithoutOrganisationsNoKeysAreNeeded)
@@ -411,7 +411,7 @@
 
 	ASSERT_NE(r, nullptr);
 	EXPECT_EQ(r->organisations, nullptr);
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
 TEST(Platform, ARouteMayBeOpen)
@@ -428,7 +428,7 @@
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
 	EXPECT_TRUE(tr_routes_match(r, "h.example", 9, "/a/x")->open);
 	EXPECT_FALSE(tr_routes_match(r, "h.example", 9, "/b/")->open);
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
 /* What is wrong is named, and no key with it. */
@@ -490,22 +490,22 @@
 				     "Server-Leaving: 1 \r\n");
 
 	EXPECT_TRUE(n.leaving);
-	EXPECT_EQ(n.limit_is, TR_NOTICE_GIVEN);
+	EXPECT_EQ(n.limit_state, TR_NOTICE_GIVEN);
 	EXPECT_EQ(n.limit, 1.5);
-	EXPECT_EQ(n.rest_is, TR_NOTICE_ABSENT);
+	EXPECT_EQ(n.rest_state, TR_NOTICE_ABSENT);
 	n = notice_of(503, "Retry-After: 3\r\nX-Not-Executed: 1\r\n");
 	EXPECT_FALSE(n.leaving);
-	EXPECT_EQ(n.limit_is, TR_NOTICE_ABSENT);
-	EXPECT_EQ(n.rest_is, TR_NOTICE_GIVEN);
+	EXPECT_EQ(n.limit_state, TR_NOTICE_ABSENT);
+	EXPECT_EQ(n.rest_state, TR_NOTICE_GIVEN);
 	EXPECT_EQ(n.rest, apr_time_from_sec(3));
 	EXPECT_EQ(notice_of(503, "Retry-After: 0.25\r\n").rest, 250000);
-	EXPECT_EQ(notice_of(200, "").limit_is, TR_NOTICE_ABSENT);
+	EXPECT_EQ(notice_of(200, "").limit_state, TR_NOTICE_ABSENT);
 }
 
 TEST(Platform, ARestIsNamedByRefusalsOnly)
 {
 	for (int status : { 200, 429, 500, 504 })
-		EXPECT_EQ(notice_of(status, "Retry-After: 3\r\n").rest_is,
+		EXPECT_EQ(notice_of(status, "Retry-After: 3\r\n").rest_state,
 			  TR_NOTICE_ABSENT)
 			<< status;
 }
@@ -527,13 +527,13 @@
 			503, "Server-Limit: " + value +
 				     "\r\nRetry-After: " + value + "\r\n");
 
-		EXPECT_EQ(n.limit_is, TR_NOTICE_UNREADABLE) << value;
-		EXPECT_EQ(n.rest_is, TR_NOTICE_UNREADABLE) << value;
+		EXPECT_EQ(n.limit_state, TR_NOTICE_INVALID) << value;
+		EXPECT_EQ(n.rest_state, TR_NOTICE_INVALID) << value;
 		EXPECT_EQ(n.rest, 0) << value;
 	}
 	EXPECT_EQ(notice_of(200, "Server-Limit: 1\r\nServer-Limit: 9\r\n")
-			  .limit_is,
-		  TR_NOTICE_UNREADABLE);
+			  .limit_state,
+		  TR_NOTICE_INVALID);
 	for (const char *value : { "0", "", "yes", "11" })
 		EXPECT_FALSE(notice_of(200, std::string("Server-Leaving: ") +
 						    value + "\r\n")
@@ -546,7 +546,7 @@
 					     "\r\nRetry-After: " +
 					     std::string(32, '9') + "\r\n");
 
-	EXPECT_EQ(n.limit_is, TR_NOTICE_GIVEN);
+	EXPECT_EQ(n.limit_state, TR_NOTICE_GIVEN);
 	EXPECT_GT(n.rest, 0);
 	EXPECT_EQ(notice_of(503, "Retry-After: 0\r\n").rest, 0);
 }
--- a/tests/proof_test.cc
+++ b/tests/proof_test.cc
@@ -46,7 +46,7 @@
 
 	const tr_node *ask()
 	{
-		return tr_proof_ask(&p, &m, BOUND, &random, now);
+		return tr_proof_query(&p, &m, BOUND, &random, now);
 	}
 };
 
@@ -114,7 +114,7 @@
 	uint64_t question = p.question;
 
 	now += TR_SEC(4);
-	tr_proof_answered(&p, question, TR_MSEC(500));
+	tr_proof_reply(&p, question, TR_MSEC(500));
 	EXPECT_EQ(tr_proof_age(&p, now), TR_MSEC(4500));
 }
 
@@ -122,8 +122,8 @@
 {
 	hear(2, "dc-1", 0);
 	ASSERT_NE(ask(), nullptr);
-	tr_proof_answered(&p, p.question + 2, 0);
-	tr_proof_answered(&p, 0, 0);
+	tr_proof_reply(&p, p.question + 2, 0);
+	tr_proof_reply(&p, 0, 0);
 	EXPECT_FALSE(tr_proof_holds(&p, BOUND, now));
 }
 
@@ -204,7 +204,7 @@
 		if (!msg.has_age || msg.revision > vm.revision)
 			return;
 		if (msg.answers)
-			tr_proof_answered(&vm.proof, msg.answers, msg.age);
+			tr_proof_reply(&vm.proof, msg.answers, msg.age);
 		else if (believes_one_way)
 			tr_proof_renew(&vm.proof, now - msg.age);
 	}
--- a/tests/route_test.cc
+++ b/tests/route_test.cc
@@ -35,7 +35,7 @@
 
 	void TearDown() override
 	{
-		tr_routes_drop(routes);
+		tr_routes_unref(routes);
 	}
 
 	std::string match(const char *host, const char *path)
@@ -49,7 +49,7 @@
 
 TEST_F(Routes, LongestPrefixOfTheHostWins)
 {
-	ASSERT_EQ(tr_routes_seal(routes, &err), 0);
+	ASSERT_EQ(tr_routes_finalize(routes, &err), 0);
 	EXPECT_EQ(match("a.example", "/x/y/z"), "/x/y/");
 	EXPECT_EQ(match("a.example", "/x/yz"), "/x/");
 	EXPECT_EQ(match("A.Example", "/other"), "/");
@@ -60,7 +60,7 @@
 
 TEST_F(Routes, SlashesOfTheQueryAreNoPath)
 {
-	ASSERT_EQ(tr_routes_seal(routes, &err), 0);
+	ASSERT_EQ(tr_routes_finalize(routes, &err), 0);
 	EXPECT_EQ(match("b.example", "/y?p=/x/"), "none");
 	EXPECT_EQ(match("a.example", "/x/?/x/y/"), "/x/");
 }
@@ -69,7 +69,7 @@
 {
 	free(routes->routes[1].prefix);
 	routes->routes[1].prefix = strdup("/x");
-	EXPECT_EQ(tr_routes_seal(routes, &err), -1);
+	EXPECT_EQ(tr_routes_finalize(routes, &err), -1);
 	EXPECT_STREQ(err.field, "prefix");
 	EXPECT_STREQ(err.value, "/x");
 }
@@ -78,14 +78,14 @@
 {
 	free(routes->routes[1].prefix);
 	routes->routes[1].prefix = strdup("/");
-	EXPECT_EQ(tr_routes_seal(routes, &err), -1);
+	EXPECT_EQ(tr_routes_finalize(routes, &err), -1);
 	EXPECT_EQ(err.code, TR_DUPLICATE);
 }
 
 TEST_F(Routes, ARouteWithoutWeightIsRefused)
 {
 	routes->routes[2].split[0].weight = 0;
-	EXPECT_EQ(tr_routes_seal(routes, &err), -1);
+	EXPECT_EQ(tr_routes_finalize(routes, &err), -1);
 	EXPECT_EQ(err.code, TR_MISSING_FIELD);
 }
 
@@ -108,7 +108,7 @@
 		for (int i = 0; i < 8; i++) {
 			point += 0.6180339887498949;
 			point -= static_cast<int>(point);
-			first += tr_split_draw(&r, point) == 0;
+			first += tr_split_choose(&r, point) == 0;
 		}
 	}
 	EXPECT_NEAR(first / 256.0, 0.75, 0.04);
@@ -120,9 +120,9 @@
  */
 TEST_F(Routes, AHeldSnapshotOutlivesItsVersion)
 {
-	tr_routes *held = tr_routes_hold(routes);
+	tr_routes *held = tr_routes_ref(routes);
 
-	tr_routes_drop(routes);
+	tr_routes_unref(routes);
 	EXPECT_EQ(held->users, 1u);
 	EXPECT_STREQ(held->services[0].name, "s");
 }
