--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -139,7 +139,7 @@
 
 		if (a)
 			tr_allowance_vm_restarted(a, &e->repeat_bound,
-						  &work->purse, work->at, now);
+						  &work->bucket, work->at, now);
 	}
 }
 
@@ -293,7 +293,7 @@
 		tr_allowance_reported(a, &e->repeat_bound, &work->totals,
 				      &reported, is_first ? now : work->at,
 				      now);
-		tr_repeat_bucket_reported(&work->purse, &e->repeat_bound,
+		tr_repeat_bucket_reported(&work->bucket, &e->repeat_bound,
 					  &work->totals, &reported, now);
 	}
 	work->service = in->service;
@@ -307,7 +307,7 @@
 	for (unsigned i = 0; i < node->work_count; i++)
 		if (node->work[i].service == service)
 			return tr_repeat_bucket_unreported(
-				&node->work[i].purse, &e->repeat_bound,
+				&node->work[i].bucket, &e->repeat_bound,
 				node->work[i].at, now);
 	return 0;
 }
--- a/entry/repeat.c
+++ b/entry/repeat.c
@@ -55,7 +55,7 @@
 		 "oldest_news_ms=%ld up_ms=%ld",
 		 e->roster.services[service].name, a->own.repeats, a->denied,
 		 sums.requests, sums.repeats, sums.own_requests,
-		 sums.own_repeats, a->purse.tokens, a->unreported,
+		 sums.own_repeats, a->bucket.tokens, a->unreported,
 		 e->repeat_bound.vms, tr_membership_recent_share(m, now),
 		 (long)(oldest_news(m, now) / 1000),
 		 (long)((now - e->started_at) / 1000));
--- a/lib/allowance.c
+++ b/lib/allowance.c
@@ -62,7 +62,7 @@
 	return bound->vms ? bound->slack / bound->vms : 0;
 }
 
-/* How many repeats the VM of the purse may send in a window, by the pace at
+/* How many repeats the VM of the bucket may send in a window, by the pace at
  * which requests come to it in the long run: by those of the window alone VMs
  * would each spend when their own luck is best. */
 static double own_most(const struct tr_repeat_bucket *p,
@@ -84,7 +84,7 @@
 	return fmax(SAVED_SHARE * own, fmin(1, SAVED_SHARE_FEW * own));
 }
 
-/* Requests have come to the VM of the purse. */
+/* Requests have come to the VM of the bucket. */
 static void add_requests(struct tr_repeat_bucket *p,
 			 const struct tr_repeat_bound *bound, unsigned requests,
 			 apr_time_t now)
@@ -122,7 +122,7 @@
 static double earned_share(const struct tr_allowance *a,
 			   const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	double own = own_most(&a->purse, bound, now);
+	double own = own_most(&a->bucket, bound, now);
 
 	if (now - a->known_since >= bound->window || own <= 0)
 		return 1;
@@ -137,8 +137,9 @@
 	a->requests[a->part % TR_ALLOWANCE_SLOTS]++;
 	a->own_requests[a->part % TR_ALLOWANCE_SLOTS]++;
 	a->own.requests++;
-	add_requests(&a->purse, bound, 1, now);
-	earn(&a->purse, bound, earned_share(a, bound, now) * bound->ratio, now);
+	add_requests(&a->bucket, bound, 1, now);
+	earn(&a->bucket, bound, earned_share(a, bound, now) * bound->ratio,
+	     now);
 }
 
 /* Another VM has told its totals; before is what it told last, at since.
@@ -171,7 +172,7 @@
 
 /* Another VM has told its totals; before is what it told last. What it may have
  * saved up by now. */
-void tr_repeat_bucket_reported(struct tr_repeat_bucket *purse,
+void tr_repeat_bucket_reported(struct tr_repeat_bucket *bucket,
 			       const struct tr_repeat_bound *bound,
 			       const struct tr_work_totals *before,
 			       const struct tr_work_totals *reported,
@@ -183,33 +184,33 @@
 
 	if (!requests && !repeats)
 		return;
-	add_requests(purse, bound, requests, now);
-	earned = take_slack(purse, bound, now) + bound->ratio * requests;
-	earn(purse, bound, earned - repeats / USED_SHARE, now);
-	purse->tokens = fmax(purse->tokens, 0);
+	add_requests(bucket, bound, requests, now);
+	earned = take_slack(bucket, bound, now) + bound->ratio * requests;
+	earn(bucket, bound, earned - repeats / USED_SHARE, now);
+	bucket->tokens = fmax(bucket->tokens, 0);
 }
 
 /* How many repeats another VM may have sent in the window since it was last
  * heard: what it had saved up, which it may have sent late, behind a cut. What
  * it earned since was by requests that are not heard of either. */
-double tr_repeat_bucket_unreported(const struct tr_repeat_bucket *purse,
+double tr_repeat_bucket_unreported(const struct tr_repeat_bucket *bucket,
 				   const struct tr_repeat_bound *bound,
 				   apr_time_t heard_at, apr_time_t now)
 {
 	apr_time_t silent = now - heard_at;
 
-	return silent < SILENT_WINDOWS * bound->window ? purse->tokens : 0;
+	return silent < SILENT_WINDOWS * bound->window ? bucket->tokens : 0;
 }
 
-/* Another VM, of which this is the purse, has started anew: what its last
+/* Another VM, of which this is the bucket, has started anew: what its last
  * process may have sent and not told counts as sent. */
 void tr_allowance_vm_restarted(struct tr_allowance *a,
 			       const struct tr_repeat_bound *bound,
-			       const struct tr_repeat_bucket *purse,
+			       const struct tr_repeat_bucket *bucket,
 			       apr_time_t heard_at, apr_time_t now)
 {
 	double unreported =
-		tr_repeat_bucket_unreported(purse, bound, heard_at, now);
+		tr_repeat_bucket_unreported(bucket, bound, heard_at, now);
 
 	turn(a, bound, now);
 	a->repeats[a->part % TR_ALLOWANCE_SLOTS] += (uint32_t)ceil(unreported);
@@ -271,7 +272,7 @@
 			  const struct tr_repeat_bound *bound, apr_time_t now)
 {
 	return keeps_pace(a->spent, a->part, 1 - a->ahead,
-			  own_most(&a->purse, bound, now));
+			  own_most(&a->bucket, bound, now));
 }
 
 /*
@@ -304,15 +305,15 @@
 	unsigned at;
 
 	turn(a, bound, now);
-	if (!a->purse.earned_at)
-		a->purse.earned_at = a->known_since;
-	slack = take_slack(&a->purse, bound, now);
-	earn(&a->purse, bound, earned_share(a, bound, now) * slack, now);
-	if (a->purse.tokens + a->ahead < 1 || !vm_keeps_pace(a, bound, now) ||
+	if (!a->bucket.earned_at)
+		a->bucket.earned_at = a->known_since;
+	slack = take_slack(&a->bucket, bound, now);
+	earn(&a->bucket, bound, earned_share(a, bound, now) * slack, now);
+	if (a->bucket.tokens + a->ahead < 1 || !vm_keeps_pace(a, bound, now) ||
 	    !fleet_keeps_pace(a, bound, now))
 		return false;
 	at = a->part % TR_ALLOWANCE_SLOTS;
-	a->purse.tokens--;
+	a->bucket.tokens--;
 	a->spent[at]++;
 	a->repeats[at]++;
 	a->own.repeats++;
--- a/lib/allowance.h
+++ b/lib/allowance.h
@@ -53,7 +53,7 @@
 	uint32_t spent[TR_ALLOWANCE_SLOTS];
 	apr_time_t part;
 	apr_time_t known_since;
-	struct tr_repeat_bucket purse;
+	struct tr_repeat_bucket bucket;
 	double ahead;
 	double unreported;
 	struct tr_work_totals own;
@@ -80,7 +80,7 @@
 			   apr_time_t since, apr_time_t now);
 void tr_allowance_vm_restarted(struct tr_allowance *a,
 			       const struct tr_repeat_bound *bound,
-			       const struct tr_repeat_bucket *purse,
+			       const struct tr_repeat_bucket *bucket,
 			       apr_time_t heard_at, apr_time_t now);
 double tr_allowance_rate(struct tr_allowance *a,
 			 const struct tr_repeat_bound *bound, apr_time_t now);
@@ -89,12 +89,12 @@
 bool tr_allowance_spend(struct tr_allowance *a,
 			const struct tr_repeat_bound *bound, apr_time_t now);
 
-void tr_repeat_bucket_reported(struct tr_repeat_bucket *purse,
+void tr_repeat_bucket_reported(struct tr_repeat_bucket *bucket,
 			       const struct tr_repeat_bound *bound,
 			       const struct tr_work_totals *before,
 			       const struct tr_work_totals *reported,
 			       apr_time_t now);
-double tr_repeat_bucket_unreported(const struct tr_repeat_bucket *purse,
+double tr_repeat_bucket_unreported(const struct tr_repeat_bucket *bucket,
 				   const struct tr_repeat_bound *bound,
 				   apr_time_t heard_at, apr_time_t now);
 
--- a/lib/membership.h
+++ b/lib/membership.h
@@ -42,13 +42,13 @@
 };
 
 /*
- * What a VM last reported about the requests for one service, and when. purse:
+ * What a VM last reported about the requests for one service, and when. bucket:
  * the repeats that it may have saved up since.
  */
 struct tr_work_report {
 	uint32_t service;
 	struct tr_work_totals totals;
-	struct tr_repeat_bucket purse;
+	struct tr_repeat_bucket bucket;
 	apr_time_t at;
 };
 
--- a/tests/allowance_load_test.cc
+++ b/tests/allowance_load_test.cc
@@ -32,7 +32,7 @@
 	unsigned life = 0;
 	bool known = false;
 	tr_work_totals totals{};
-	tr_repeat_bucket purse{};
+	tr_repeat_bucket bucket{};
 	apr_time_t at = 0;
 };
 
@@ -130,7 +130,7 @@
 		for (const Heard &h : vm.others)
 			if (h.known && now - h.at > SILENT_AFTER)
 				sum += tr_repeat_bucket_unreported(
-					&h.purse, &bound, h.at, now);
+					&h.bucket, &bound, h.at, now);
 		return sum;
 	}
 
@@ -177,16 +177,16 @@
 		}
 		if (restarted) {
 			tr_allowance_vm_restarted(&vm.allowance, &bound,
-						  &h.purse, h.at, now);
+						  &h.bucket, h.at, now);
 			h = Heard{ m.life, true, {}, {}, now };
 		}
 		if (h.known) {
 			tr_allowance_reported(&vm.allowance, &bound, &h.totals,
 					      &m.told, h.at, now);
-			tr_repeat_bucket_reported(&h.purse, &bound, &h.totals,
+			tr_repeat_bucket_reported(&h.bucket, &bound, &h.totals,
 						  &m.told, now);
 		}
-		h = Heard{ m.life, true, m.told, h.purse, now };
+		h = Heard{ m.life, true, m.told, h.bucket, now };
 	}
 
 	void tell()
