--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -144,7 +144,7 @@
 	x->organisation = organisation;
 	x->keeps = route->kind == TR_KIND_SAFE &&
 		   tr_mechanism_enabled(TR_MECH_KEPT_CONNECTIONS);
-	x->keyed = x->routes->organisations && !route->open;
+	x->keyed = x->routes->organisations && !route->is_public;
 	x->next = e->exchanges;
 	if (x->next)
 		x->next->prev = x;
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -85,7 +85,7 @@
 	}
 	*organisation =
 		tr_organisations_find(all, message_header(&caller->in, name));
-	if (route->open)
+	if (route->is_public)
 		return true;
 	if (!entry_vouches(e) || (!*organisation && exchange_is_late(e))) {
 		e->counts.unproven++;
--- a/lib/route.h
+++ b/lib/route.h
@@ -23,7 +23,7 @@
 	double weight;
 };
 
-/* open: callers need no key here. */
+/* is_public: callers need no key here. */
 struct tr_path_route {
 	char *name;
 	char *host;
@@ -33,7 +33,7 @@
 	apr_time_t latency_aim;
 	uint32_t attempts;
 	uint32_t priority;
-	bool open;
+	bool is_public;
 	struct tr_split *split;
 	unsigned split_count;
 };
