--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -74,8 +74,9 @@
 		.body_bytes = x->body->len,
 		.keeps = x->keeps,
 		.floor_share = e->settings->bounds.floor_share,
-		.wanted = tr_allowance_rate(entry_allowance(x->e, x->service),
-					    &e->repeat_bound, now),
+		.request_rate =
+			tr_allowance_rate(entry_allowance(x->e, x->service),
+					  &e->repeat_bound, now),
 		.heard = exchange_heard(x),
 	};
 
--- a/lib/place.c
+++ b/lib/place.c
@@ -202,7 +202,8 @@
 		if (tr_random_unit(random) * sum < tokens)
 			drawn = i;
 	}
-	if (!tr_send_limits_admit(sum, req->wanted, tr_random_unit(random)))
+	if (!tr_send_limits_admit(sum, req->request_rate,
+				  tr_random_unit(random)))
 		return TR_NO_ROW;
 	return drawn;
 }
@@ -217,7 +218,7 @@
 	return (struct tr_floor_load){
 		.outcomes = tr_service_stats_recent_outcomes(svc, now),
 		.failure_ratio = tr_service_stats_failure_ratio(svc),
-		.rate = req->wanted,
+		.rate = req->request_rate,
 	};
 }
 
--- a/lib/place.h
+++ b/lib/place.h
@@ -9,11 +9,11 @@
 /*
  * What a request that looks for a target is like. usual and spread tell how
  * long its work takes, failure_age how old attempts are when they turn out to
- * have failed. may_repeat: if this attempt fails, another may be sent. wanted:
- * requests a second that this VM's group gets for the service; heard: the part
- * of the fleet that this VM hears; turns: its place among the VMs that send for
- * the floor.
- * standing_queue: work has been taking longer than the aim for a while.
+ * have failed. may_repeat: if this attempt fails, another may be sent.
+ * request_rate: requests a second that this VM's group gets for the service;
+ * heard: the part of the fleet that this VM hears; turns: its place among the
+ * VMs that send for the floor. standing_queue: work has been taking longer than
+ * the aim for a while.
  */
 struct tr_place_request {
 	uint32_t service;
@@ -30,7 +30,7 @@
 	bool keeps;
 	bool may_repeat;
 	bool standing_queue;
-	double wanted;
+	double request_rate;
 	double heard;
 	struct tr_floor_rotation turns;
 };
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -277,7 +277,7 @@
 		req.time_left = plan.hangs_for;
 		req.data_centre = "dc";
 		req.floor_share = 0.7;
-		req.wanted = plan.rate;
+		req.request_rate = plan.rate;
 		req.turns = { v, plan.vms };
 		req.tried = tried.data();
 		req.tried_count = (unsigned)tried.size();
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -145,7 +145,7 @@
 		req.time_left = HANGS_FOR;
 		req.data_centre = "dc";
 		req.floor_share = 0.7;
-		req.wanted = rate;
+		req.request_rate = rate;
 		requests++;
 		if (tr_place(&roster, &req, &random, now, &p) !=
 		    TR_PLACE_FOUND) {
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -341,7 +341,7 @@
 	set_limit(&roster, 1, 1, now);
 	now += TR_SEC(2);
 	req.heard = 1;
-	req.wanted = 100;
+	req.request_rate = 100;
 	EXPECT_LT(draw(2000)[1], 2000 / 10);
 }
 
