--- a/lib/limit.c
+++ b/lib/limit.c
@@ -51,10 +51,10 @@
  * as there without a new one. */
 #define GROUP_HOLDS TR_MSEC(2000)
 /* What a caller is told to wait at least and at most when it is refused. */
-#define RETURN_LEAST TR_MSEC(200)
-#define RETURN_MOST  TR_MSEC(3000)
+#define RETRY_AFTER_MIN_US TR_MSEC(200)
+#define RETRY_AFTER_MAX_US TR_MSEC(3000)
 /* Callers that are refused together come back over so long. */
-#define RETURN_SPREAD_MS 1000
+#define RETRY_JITTER_MS 1000
 
 /* How messages name an organisation. */
 uint32_t tr_limit_name(const char *organisation)
@@ -379,10 +379,10 @@
 				struct tr_random *random)
 {
 	double beyond = tr_limit_used(l) - whole(l, bound) * l->heard;
-	apr_time_t after = RETURN_LEAST;
+	apr_time_t after = RETRY_AFTER_MIN_US;
 
 	if (l->rate > 0 && beyond > 0)
 		after += (apr_time_t)(beyond / l->rate * 1e6);
-	after += TR_MSEC(tr_random_below(random, RETURN_SPREAD_MS));
-	return after < RETURN_MOST ? after : RETURN_MOST;
+	after += TR_MSEC(tr_random_below(random, RETRY_JITTER_MS));
+	return after < RETRY_AFTER_MAX_US ? after : RETRY_AFTER_MAX_US;
 }
--- a/lib/place.c
+++ b/lib/place.c
@@ -1,8 +1,9 @@
 /*
- * Choosing a target: the least expected loss, from what the whole fleet says
- * of each. The answer to a slot that is busy is a short wait at the target,
- * whose own queue keeps slots busy without a gap, where a queue here would
- * learn of a free slot a message later.
+ * Target selection. Each candidate target gets an expected cost from what the
+ * fleet reports of it, and the cheapest one is chosen. A request for a target
+ * whose slots are all busy is sent anyway if the expected wait is short: the
+ * target's own queue refills a slot without a gap, whereas a queue in the proxy
+ * would learn of a free slot one message later.
  */
 #include "place.h"
 
@@ -13,52 +14,72 @@
 #include "floor.h"
 #include "mechanism.h"
 
-/* Costs are parts of what a request is worth that is answered within its aim.
+/*
+ * Costs are fractions of the value of a request that is answered within its
+ * latency aim.
  *
- * One that fails at a gray target is lost; three of four do. */
-#define LOSS 0.75
-/* One that may be sent once more costs its second attempt: a connection and
- * some of the fleet's bound on repeats, beside what makes its answer late. So
- * reads find out which targets are well again, and what must run once goes
- * where they were answered. */
-#define REPEAT_COST 0.05
-/* An answer after the aim is worth so much less. A failure costs more than its
- * credit, since operators count the nines of what is served at all: a wait,
- * also one a little beyond the aim, goes before a target that is known to be
- * gray.
+ * A request sent to a gray target is lost in three of four cases.
+ */
+#define FAILURE_COST 0.75
+/*
+ * A failed request that may be retried costs its second attempt: a connection
+ * and a part of the fleet's bound on repeats, besides the cost of the later
+ * answer. With this low cost reads probe whether a suspect has recovered, while
+ * requests that must run only once go to targets where reads were answered.
+ */
+#define RETRY_COST 0.05
+/*
+ * Cost of an answer later than the latency aim. It is lower than the cost of a
+ * failure, since operators count the share of requests that are served at all:
+ * a wait, even one slightly longer than the aim, is preferred to a target that
+ * is known to be gray.
  */
 #define LATE_COST 0.45
-/* Times of work are about log-normal; the logistic curve of this steepness
- * follows their distribution to 0.01. */
-#define STEEPNESS 1.7
-/* A target whose slots are all taken costs so much more than an idle one,
- * beside the wait: among alike targets the idle ones come first. */
+/*
+ * Work times are roughly log-normal; a logistic curve with this steepness
+ * approximates their distribution within 0.01.
+ */
+#define LOGISTIC_STEEPNESS 1.7
+/*
+ * Extra cost of a target whose slots are all busy, beside the wait: among
+ * otherwise equal targets idle ones are preferred.
+ */
 #define BUSY_COST 0.05
-/* A target to which a connection rests here costs so much less: more than the
- * blur, and less than a busy slot. */
-#define KEPT_GAIN 0.03
-/* The cost of crossing data centres, for the bytes that operators pay, and a
- * body that is moved adds to it. More than a busy slot. */
-#define AWAY_COST      0.1
-#define AWAY_BODY      300000.0
-#define AWAY_COST_MOST 0.3
-/* Costs are blurred by so much (the scale of a Gumbel variable, which makes the
- * choice a softmax): what other VMs have sent in the last tenth of a second is
- * not known yet, and if all took the one cheapest target a sudden hang there
- * would take several requests with it. */
-#define BLUR 0.02
-/* From here on a target counts as a suspect, whose queue says nothing of how
- * long work takes. */
-#define SUSPECT 0.5
-/* A wait that ends with less than this part of the usual time left for the
- * work is hopeless. */
-#define LEAST_WORK 1.0
-/* When callers come back whom no target can serve, and at most where limits are
- * so low that the next request may be long away, in us. */
-#define RETURN_UNKNOWN 300e3
-#define RETURN_MOST    3e6
-/* Over how long callers come back once a target has rested, in us. */
-#define RESTED_SPREAD 1e6
+/*
+ * Discount for a target to which this VM has an idle connection: more than the
+ * noise, less than a busy slot.
+ */
+#define REUSE_GAIN 0.03
+/*
+ * Cost of sending a request to another data centre, because operators pay for
+ * these bytes. The size of the body adds to it. Higher than the cost of a busy
+ * slot.
+ */
+#define CROSS_DC_COST	    0.1
+#define CROSS_DC_BODY_BYTES 300000.0
+#define CROSS_DC_COST_MAX   0.3
+/*
+ * Scale of the Gumbel noise that is added to costs, which makes the choice a
+ * softmax. What other VMs sent in the last tenth of a second is not known yet;
+ * if all chose the single cheapest target, a sudden hang there would affect
+ * several requests.
+ */
+#define COST_NOISE 0.02
+/*
+ * Gray probability from which a target counts as a suspect; its queue then says
+ * nothing about how long work takes.
+ */
+#define SUSPECT_RISK 0.5
+/* Share of the usual work time that must be left after the wait. */
+#define MIN_WORK_SHARE 1.0
+/*
+ * Retry-After in us when no target is known, and its maximum when targets have
+ * set rate limits so low that the next request may be far away.
+ */
+#define RETRY_AFTER_DEFAULT_US 300e3
+#define RETRY_AFTER_MAX_US     3e6
+/* Interval in us over which callers return after a target's requested pause. */
+#define REST_JITTER_US 1e6
 
 static double gumbel(struct tr_random *random)
 {
@@ -75,7 +96,9 @@
 	return false;
 }
 
-/* How long until a slot is free, as far as the fleet's numbers tell. */
+/*
+ * Estimates the time until a slot is free from the load that the fleet reports.
+ */
 static apr_time_t expected_wait(const struct tr_instance *row, apr_time_t usual,
 				uint32_t in_flight)
 {
@@ -86,52 +109,58 @@
 			    row->slots);
 }
 
-/* The chance that work which takes so long in the mean, with times that spread
- * so, takes longer than the limit. */
-static double chance_beyond(double takes, apr_time_t limit, double spread)
+/*
+ * The probability that work with this mean and log-scale spread takes longer
+ * than the limit.
+ */
+static double probability_over(double takes, apr_time_t limit, double spread)
 {
 	if (limit <= 0)
 		return 1;
-	return 1 / (1 + pow((double)limit / takes, STEEPNESS / spread));
+	return 1 /
+	       (1 + pow((double)limit / takes, LOGISTIC_STEEPNESS / spread));
 }
 
 static double late_cost(const struct tr_place_request *req, double takes)
 {
-	return LATE_COST * chance_beyond(takes, req->aim_left, req->spread);
+	return LATE_COST * probability_over(takes, req->aim_left, req->spread);
 }
 
-/* What a failure costs: all, or that the answer comes from a second attempt,
- * which begins when the first one turns out to have failed. */
-static double loss_of(const struct tr_place_request *req)
+/*
+ * The cost of a failure: the whole request, or, if it may be retried, a second
+ * attempt that starts when the first one is known to have failed.
+ */
+static double expected_failure_cost(const struct tr_place_request *req)
 {
 	double again = (double)(req->failure_age + req->usual);
 
 	if (!req->may_repeat || !tr_mechanism_enabled(TR_MECH_SCOUTS))
-		return LOSS;
-	return REPEAT_COST + late_cost(req, again) -
+		return FAILURE_COST;
+	return RETRY_COST + late_cost(req, again) -
 	       late_cost(req, (double)req->usual);
 }
 
-static double away_cost(const struct tr_instance *row,
-			const struct tr_place_request *req)
+static double cross_dc_cost(const struct tr_instance *row,
+			    const struct tr_place_request *req)
 {
-	double away = AWAY_COST + (double)req->body_bytes / AWAY_BODY;
+	double away =
+		CROSS_DC_COST + (double)req->body_bytes / CROSS_DC_BODY_BYTES;
 
 	if (!strcmp(row->data_centre, req->data_centre) ||
 	    !tr_mechanism_enabled(TR_MECH_CENTRE_PREFERENCE))
 		return 0;
-	return fmin(away, AWAY_COST_MOST);
+	return fmin(away, CROSS_DC_COST_MAX);
 }
 
-static double kept_gain(const struct tr_instance *row,
-			const struct tr_place_request *req)
+static double reuse_gain(const struct tr_instance *row,
+			 const struct tr_place_request *req)
 {
-	return req->keeps && row->kept ? KEPT_GAIN : 0;
+	return req->keeps && row->kept ? REUSE_GAIN : 0;
 }
 
-static double cost_of(const struct tr_instance *row,
-		      const struct tr_place_request *req, double loss,
-		      apr_time_t now, struct tr_placement *p)
+static double target_cost(const struct tr_instance *row,
+			  const struct tr_place_request *req, double loss,
+			  apr_time_t now, struct tr_placement *p)
 {
 	uint32_t in_flight = tr_instance_in_flight(row, now);
 	double takes = (double)req->usual;
@@ -139,22 +168,27 @@
 
 	p->wait = expected_wait(row, req->usual, in_flight);
 	p->risk = tr_gray_probability(&row->gray, now);
-	/* Work that is under way shares the target's speed to some extent; an
-	 * idle one comes first. */
+	/*
+	 * Requests in flight share the target's capacity to some extent, so an
+	 * idle target is preferred.
+	 */
 	share = (double)in_flight / row->slots;
 	takes += (double)p->wait;
 	return p->risk * loss + late_cost(req, takes) +
-	       LOSS * chance_beyond(takes, req->time_left, req->spread) +
-	       share * BUSY_COST + away_cost(row, req) - kept_gain(row, req);
+	       FAILURE_COST *
+		       probability_over(takes, req->time_left, req->spread) +
+	       share * BUSY_COST + cross_dc_cost(row, req) -
+	       reuse_gain(row, req);
 }
 
 /*
- * Would work that is sent now end in time? A queue that stands must not be
- * longer than the aim: else, at twice the load, every answer comes late and as
- * many are refused. For the length of a burst it may.
+ * Whether work that is sent now would end in time. A standing queue must not be
+ * longer than the latency aim: at twice the load every answer would otherwise
+ * be late and as many requests refused. A queue may exceed the aim for the
+ * length of a burst.
  */
-static bool in_time(const struct tr_place_request *req,
-		    const struct tr_placement *p)
+static bool meets_deadline(const struct tr_place_request *req,
+			   const struct tr_placement *p)
 {
 	apr_time_t left = req->time_left;
 
@@ -162,11 +196,13 @@
 		return true;
 	if (req->standing_queue && req->aim_left > req->usual)
 		left = req->aim_left;
-	return (double)p->wait + (double)req->usual * LEAST_WORK <=
+	return (double)p->wait + (double)req->usual * MIN_WORK_SHARE <=
 	       (double)left;
 }
 
-/* Can the request go to the target, if its limit allows? */
+/*
+ * Whether the request can go to the target, apart from the target's rate limit.
+ */
 static bool is_candidate(const struct tr_instance *row, uint32_t at,
 			 const struct tr_place_request *req, apr_time_t now)
 {
@@ -175,15 +211,15 @@
 }
 
 /*
- * Of the targets that have named a limit, the one to which this request may go:
- * drawn by what may be sent to each, and none mostly while little may. Those of
- * another group are left to that, which counts what is sent there.
+ * Draws one of the targets with a rate limit, weighted by the tokens that are
+ * available for each; usually none while few tokens are left. Targets of
+ * another group are left to that group, which counts the requests sent there.
  */
-static uint32_t draw_limited(const struct tr_roster *roster,
-			     const struct tr_place_request *req,
-			     struct tr_random *random, apr_time_t now)
+static uint32_t draw_limited_target(const struct tr_roster *roster,
+				    const struct tr_place_request *req,
+				    struct tr_random *random, apr_time_t now)
 {
-	uint32_t drawn = TR_NO_ROW;
+	uint32_t limited_choice = TR_NO_ROW;
 	double sum = 0;
 
 	if (!roster->limits.holding)
@@ -200,18 +236,18 @@
 			continue;
 		sum += tokens;
 		if (tr_random_unit(random) * sum < tokens)
-			drawn = i;
+			limited_choice = i;
 	}
 	if (!tr_send_limits_admit(sum, req->request_rate,
 				  tr_random_unit(random)))
 		return TR_NO_ROW;
-	return drawn;
+	return limited_choice;
 }
 
-/* What came of the requests of the service that this one is for. */
-static struct tr_floor_load load_of(const struct tr_roster *roster,
-				    const struct tr_place_request *req,
-				    apr_time_t now)
+/* The recent outcomes and the rate of the service's requests. */
+static struct tr_floor_load service_load(const struct tr_roster *roster,
+					 const struct tr_place_request *req,
+					 apr_time_t now)
 {
 	const struct tr_service_stats *svc = &roster->services[req->service];
 
@@ -222,11 +258,14 @@
 	};
 }
 
-/* The target that the floor asks this request for, or TR_NO_ROW. */
-static uint32_t floor_pick(const struct tr_place_request *req,
-			   const struct tr_floor_check *check,
-			   const struct tr_floor_load *load,
-			   struct tr_random *random)
+/*
+ * Returns the target that this request should go to for the floor, or
+ * TR_NO_ROW.
+ */
+static uint32_t pick_for_floor(const struct tr_place_request *req,
+			       const struct tr_floor_check *check,
+			       const struct tr_floor_load *load,
+			       struct tr_random *random)
 {
 	if (!tr_mechanism_enabled(TR_MECH_FLOOR) || !check->idle_count)
 		return TR_NO_ROW;
@@ -235,10 +274,10 @@
 }
 
 /*
- * Choose a target for the request. TR_PLACE_TOO_LATE: there are targets, but
- * work sent now would not end in time at any of them. TR_PLACE_LIMITED: it
- * would, but these have as much as they take. TR_PLACE_RESTING: all that serve
- * have asked this VM for rest.
+ * Chooses a target for the request. TR_PLACE_TOO_LATE: there are targets, but
+ * work sent now would end in time at none of them. TR_PLACE_LIMITED: it would,
+ * but those targets have reached their rate limits. TR_PLACE_RESTING: all
+ * targets that serve have asked this VM to pause.
  */
 enum tr_place_result tr_place(const struct tr_roster *roster,
 			      const struct tr_place_request *req,
@@ -247,14 +286,14 @@
 {
 	unsigned known = 0;
 	unsigned untried = 0;
-	const struct tr_floor_load load = load_of(roster, req, now);
+	const struct tr_floor_load load = service_load(roster, req, now);
 	struct tr_floor_check check;
-	double loss = loss_of(req);
+	double loss = expected_failure_cost(req);
 	unsigned fitting = 0;
 	unsigned limited = 0;
 	unsigned resting = 0;
 	apr_time_t shortest_time = APR_INT64_MAX;
-	uint32_t drawn = draw_limited(roster, req, random, now);
+	uint32_t limited_choice = draw_limited_target(roster, req, random, now);
 	uint32_t picked;
 
 	tr_floor_check_init(&check, req->may_repeat && tr_mechanism_enabled(
@@ -280,34 +319,36 @@
 		if (was_tried(req, i))
 			continue;
 		untried++;
-		p.cost = cost_of(row, req, loss, now, &p);
+		p.cost = target_cost(row, req, loss, now, &p);
 		takes = p.wait + req->usual;
-		if (p.risk < SUSPECT && takes < shortest_time)
+		if (p.risk < SUSPECT_RISK && takes < shortest_time)
 			shortest_time = takes;
-		fits = row->full_until <= now && in_time(req, &p);
+		fits = row->full_until <= now && meets_deadline(req, &p);
 		if (tr_roster_limit(roster, row)) {
-			limited += fits && i != drawn;
-			fits &= i == drawn;
+			limited += fits && i != limited_choice;
+			fits &= i == limited_choice;
 		} else if (!row->away) {
-			/* Other groups keep theirs at work, and tell of it too
-			 * late. */
+			/*
+			 * Other groups keep their own targets in use and report
+			 * it too late for the floor.
+			 */
 			tr_floor_check_add(&check, row, i, p.risk, fits, now);
 		}
 		if (!fits)
 			continue;
 		fitting++;
 		if (tr_mechanism_enabled(TR_MECH_BLUR))
-			p.cost -= BLUR * gumbel(random);
+			p.cost -= COST_NOISE * gumbel(random);
 		if (p.cost < placing->cost)
 			*placing = p;
 	}
 	placing->for_floor = false;
-	picked = floor_pick(req, &check, &load, random);
+	picked = pick_for_floor(req, &check, &load, random);
 	if (picked != TR_NO_ROW) {
 		placing->row = picked;
 		placing->for_floor = true;
-		placing->cost =
-			cost_of(&roster->rows[picked], req, loss, now, placing);
+		placing->cost = target_cost(&roster->rows[picked], req, loss,
+					    now, placing);
 	}
 	placing->shortest_time = shortest_time;
 	if (fitting)
@@ -319,59 +360,61 @@
 	return untried ? TR_PLACE_TOO_LATE : TR_PLACE_ALL_TRIED;
 }
 
-/* What the targets of a service can take, for callers that are refused. */
-struct room {
+/* Capacity of a service's targets, for the Retry-After of refused callers. */
+struct capacity {
 	double in_flight;
 	double slots;
 	double limits;
 	apr_time_t rested_at;
 };
 
-static void see_room(struct room *room, const struct tr_roster *roster,
-		     const struct tr_instance *row,
-		     const struct tr_place_request *req, apr_time_t now)
+static void add_capacity(struct capacity *capacity,
+			 const struct tr_roster *roster,
+			 const struct tr_instance *row,
+			 const struct tr_place_request *req, apr_time_t now)
 {
 	const struct tr_send_limit *l = tr_roster_limit(roster, row);
 
 	if (!tr_instance_usable(row, now)) {
-		if (row->backoff_until < room->rested_at)
-			room->rested_at = row->backoff_until;
+		if (row->backoff_until < capacity->rested_at)
+			capacity->rested_at = row->backoff_until;
 	} else if (l) {
-		room->limits += tr_send_limit_rate(l, req->heard);
+		capacity->limits += tr_send_limit_rate(l, req->heard);
 	} else {
-		room->in_flight += tr_instance_in_flight(row, now);
-		room->slots += row->slots;
+		capacity->in_flight += tr_instance_in_flight(row, now);
+		capacity->slots += row->slots;
 	}
 }
 
 /*
- * When a refused caller should come back: when the work that is there now
- * should be over, or where all targets have named limits when the next request
- * may be sent, or where all rest when the first has rested; spread so that they
- * do not all return at once.
+ * Returns how long a refused caller should wait, in us: until the work in
+ * flight should be done; or, if all targets have rate limits, until the next
+ * request may be sent; or, if all targets have asked for a pause, until the
+ * first pause ends. The result is randomised so that callers do not all return
+ * at once.
  */
 apr_time_t tr_place_retry_after(const struct tr_roster *roster,
 				const struct tr_place_request *req,
 				struct tr_random *random, apr_time_t now)
 {
-	struct room room = { .rested_at = APR_INT64_MAX };
+	struct capacity capacity = { .rested_at = APR_INT64_MAX };
 	double spread = tr_random_unit(random);
-	double after = RETURN_UNKNOWN;
+	double after = RETRY_AFTER_DEFAULT_US;
 
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
 
 		if (row->service == req->service &&
 		    tr_instance_serves(row, now))
-			see_room(&room, roster, row, req, now);
+			add_capacity(&capacity, roster, row, req, now);
 	}
-	if (room.slots > 0)
+	if (capacity.slots > 0)
 		after = (double)req->usual *
-			fmax(0.25, room.in_flight / room.slots - 1);
-	else if (room.limits > 0)
-		after = fmin(1e6 / room.limits, RETURN_MOST);
-	else if (room.rested_at != APR_INT64_MAX)
-		return room.rested_at - now +
-		       (apr_time_t)(RESTED_SPREAD * spread);
+			fmax(0.25, capacity.in_flight / capacity.slots - 1);
+	else if (capacity.limits > 0)
+		after = fmin(1e6 / capacity.limits, RETRY_AFTER_MAX_US);
+	else if (capacity.rested_at != APR_INT64_MAX)
+		return capacity.rested_at - now +
+		       (apr_time_t)(REST_JITTER_US * spread);
 	return (apr_time_t)(after * (1 + spread));
 }
--- a/lib/place.h
+++ b/lib/place.h
@@ -6,41 +6,49 @@
 #include "roster.h"
 #include "route.h"
 
-/*
- * What a request that looks for a target is like. usual and spread tell how
- * long its work takes, failure_age how old attempts are when they turn out to
- * have failed. may_repeat: if this attempt fails, another may be sent.
- * request_rate: requests a second that this VM's group gets for the service;
- * heard: the part of the fleet that this VM hears; turns: its place among the
- * VMs that send for the floor. standing_queue: work has been taking longer than
- * the aim for a while.
- */
+/* What the choice of a target needs to know of a request. */
 struct tr_place_request {
 	uint32_t service;
+	/* Expected work time, and the spread of its logarithm. */
 	apr_time_t usual;
 	double spread;
+	/* Age at which attempts usually turn out to have failed. */
 	apr_time_t failure_age;
+	/* Time left until the latency aim and until the deadline. */
 	apr_time_t aim_left;
 	apr_time_t time_left;
 	const char *data_centre;
+	/* Rows of the targets that were tried before. */
 	const uint32_t *tried;
 	unsigned tried_count;
 	uint64_t body_bytes;
 	double floor_share;
+	/* The request may be sent on an idle connection to the target. */
 	bool keeps;
+	/* Whether another attempt may be sent if this one fails. */
 	bool may_repeat;
+	/* Work has taken longer than the latency aim for a while. */
 	bool standing_queue;
+	/* Requests a second that this VM's group gets for the service. */
 	double request_rate;
+	/* Share of the fleet that this VM receives messages from. */
 	double heard;
+	/* This VM's position among the VMs that send requests for the floor. */
 	struct tr_floor_rotation turns;
 };
 
+/* The chosen target and what was expected of it. */
 struct tr_placement {
 	uint32_t row;
 	double cost;
 	bool for_floor;
+	/* The probability that the target is gray. */
 	double risk;
+	/* Expected time until a slot of the target is free. */
 	apr_time_t wait;
+	/*
+	 * Shortest expected wait and work of all targets that are not suspects.
+	 */
 	apr_time_t shortest_time;
 };
 
@@ -50,6 +58,7 @@
 	TR_PLACE_ALL_TRIED,
 	TR_PLACE_TOO_LATE,
 	TR_PLACE_LIMITED,
+	/* All targets that serve have asked this VM to pause. */
 	TR_PLACE_RESTING,
 };
 
