--- a/lib/spread.c
+++ b/lib/spread.c
@@ -1,19 +1,21 @@
 /*
- * How a configuration, or the first list of targets, reaches every VM: each
- * asks one of its group that has it, and one that has got it is asked in its
- * turn, so that the number of holders grows fivefold with each round. While
- * holders are few only some ask, drawn by hash, so that no holder hears from
- * all at once; of another group only three ask. A holder gives no more copies
- * at a time than its link carries at once and turns the others away.
+ * Distribution of a configuration, or of the first target list, to every VM.
+ * Each VM fetches it from a VM of its group that has it, and then serves it to
+ * others, so that the number of sources grows about fivefold with each round.
+ * While there are few sources only some VMs, chosen by hash, may fetch, so that
+ * no source gets requests from all VMs at once; only three VMs fetch from
+ * another group. A source sends no more copies at a time than its link can
+ * carry and refuses further requests.
  *
- * What goes wrong without it: two VMs read the platform and 94 ask both for
- * 127 kB each. Copies share the link, none is whole when the askers' patience
- * ends, they ask again, and the copies nobody waits for take the link: 44 MB
- * were queued in nine seconds on links of 10 to 200 Mbit/s, not one copy
- * arrived, and the readers lost the store behind their own answers. One would
- * notice by a fleet whose revision stays behind that of its readers. Of 442 VMs
- * all asked the one that had it first; while configurations came in quick
- * succession two still went by the last but two 3 s after it was accepted.
+ * Failure that this prevents: two VMs read the platform, and 94 others request
+ * 127 kB from both. The copies share the link, none is complete when the
+ * requests time out, the VMs ask again, and the abandoned copies fill the link:
+ * 44 MB were queued in nine seconds on links of 10 to 200 Mbit/s, not one copy
+ * arrived, and the readers lost the store behind their own replies. The symptom
+ * is a fleet whose revision lags behind that of its readers. With 442 VMs all
+ * of them asked the one that had it first; while configurations came in quick
+ * succession, two VMs were still two revisions behind 3 s after one was
+ * accepted.
  */
 #include "spread.h"
 
@@ -21,25 +23,36 @@
 
 #include "clock.h"
 
-/* How long the askers wait at first, each by another part, so that a holder
- * does not hear from all of them within the same millisecond. */
-#define FIRST_WAIT_MS 20
-/* VMs that may ask for each holder in reach: four copies of 20 kB take 64 ms on
- * the thinnest link, 10 Mbit/s. */
-#define ASKERS_A_HOLDER 4
-/* VMs of a group that ask another group, while nobody of their own has it; and
- * how long the others leave it to them: some questions' time. */
-#define ASKERS_AWAY  3
-#define LEFT_TO_THEM TR_MSEC(400)
-/* Between two questions: a message by which a new holder names itself takes
- * 50 ms in a fleet of 100 VMs, so there is another to ask by then. */
-#define AGAIN_LEAST TR_MSEC(30)
-#define AGAIN_MS    90
-/* Copies that are promised may fill the link for so long. What callers send and
- * get waits behind it; an eighth of a short latency aim. */
-#define LINK_AHEAD TR_MSEC(80)
-
-/* The newest that a VM in reach says it has. */
+/*
+ * Random delay of the first request, so that a source does not get requests
+ * from all VMs in the same millisecond.
+ */
+#define INITIAL_JITTER_MS 20
+/*
+ * VMs that may fetch for each reachable source: four copies of 20 kB take 64 ms
+ * on the slowest link, 10 Mbit/s.
+ */
+#define FETCHERS_PER_SOURCE 4
+/*
+ * VMs of a group that fetch from another group while no VM of their own group
+ * has the revision, and how long the other VMs wait for them: the time of
+ * several requests.
+ */
+#define FETCHERS_REMOTE 3
+#define DEFER_MAX	TR_MSEC(400)
+/*
+ * Delay between two requests. The message by which a new source announces
+ * itself takes 50 ms in a fleet of 100 VMs, so another source is known by then.
+ */
+#define REFETCH_MIN	  TR_MSEC(30)
+#define REFETCH_JITTER_MS 90
+/*
+ * How far ahead the link may be booked for copies. Callers' requests and
+ * answers queue behind it; this is an eighth of a short latency aim.
+ */
+#define LINK_BACKLOG_MAX TR_MSEC(80)
+
+/* Returns the newest revision that a live VM reports. */
 uint64_t tr_spread_newest_revision(const struct tr_membership *m,
 				   enum tr_resource what, apr_time_t now)
 {
@@ -52,7 +65,7 @@
 	return newest;
 }
 
-static bool is_holder(const struct tr_spread *s, const struct tr_membership *m,
+static bool is_source(const struct tr_spread *s, const struct tr_membership *m,
 		      const struct tr_node *node, uint64_t revision,
 		      apr_time_t now)
 {
@@ -60,9 +73,9 @@
 	       !node->leaving;
 }
 
-/* The newest that a VM of this group has. */
-static uint64_t newest_near(const struct tr_spread *s,
-			    const struct tr_membership *m, apr_time_t now)
+/* Returns the newest revision that a VM of this group can serve. */
+static uint64_t newest_in_group(const struct tr_spread *s,
+				const struct tr_membership *m, apr_time_t now)
 {
 	uint64_t newest = 0;
 
@@ -70,24 +83,24 @@
 		const struct tr_node *node = &m->nodes[i];
 
 		if (node->near && node->held[s->what] > newest &&
-		    is_holder(s, m, node, newest + 1, now))
+		    is_source(s, m, node, newest + 1, now))
 			newest = node->held[s->what];
 	}
 	return newest;
 }
 
 /*
- * May this VM ask, or is it left to others? They are drawn by hash, others for
- * each revision.
+ * Whether this VM may fetch the revision now or leaves it to others. The VMs
+ * that may are chosen by hash, differently for each revision.
  */
-static bool may_ask(const struct tr_spread *s, const struct tr_membership *m,
-		    uint64_t revision, bool near, apr_time_t now)
+static bool may_fetch(const struct tr_spread *s, const struct tr_membership *m,
+		      uint64_t revision, bool near, apr_time_t now)
 {
-	uint64_t mine = tr_hash_pair(m->nodes[0].ip, revision);
-	unsigned before = 0;
-	unsigned holders = 0;
+	uint64_t own_hash = tr_hash_pair(m->nodes[0].ip, revision);
+	unsigned earlier = 0;
+	unsigned sources = 0;
 
-	if (now - s->lacking_since >= LEFT_TO_THEM)
+	if (now - s->outdated_since >= DEFER_MAX)
 		return true;
 	for (unsigned i = 1; i < m->count; i++) {
 		const struct tr_node *node = &m->nodes[i];
@@ -95,19 +108,23 @@
 		if (!node->near || !tr_node_alive(m, node, now))
 			continue;
 		if (node->held[s->what] >= revision)
-			holders++;
+			sources++;
 		else
-			before += tr_hash_pair(node->ip, revision) < mine;
+			earlier += tr_hash_pair(node->ip, revision) < own_hash;
 	}
-	return before < (near ? ASKERS_A_HOLDER * holders : ASKERS_AWAY);
+	return earlier <
+	       (near ? FETCHERS_PER_SOURCE * sources : FETCHERS_REMOTE);
 }
 
-/* Draw one of those that have the revision, near ones or others; of the own
- * data centre, if there is one: bytes between data centres are dear. */
-static const struct tr_node *draw(const struct tr_spread *s,
-				  const struct tr_membership *m,
-				  uint64_t revision, bool near, uint32_t but,
-				  struct tr_random *random, apr_time_t now)
+/*
+ * Draws a random source of the revision, inside or outside of this group.
+ * Sources in this VM's data centre are preferred, since traffic between data
+ * centres is expensive.
+ */
+static const struct tr_node *
+draw_source(const struct tr_spread *s, const struct tr_membership *m,
+	    uint64_t revision, bool near, uint32_t except,
+	    struct tr_random *random, apr_time_t now)
 {
 	const struct tr_node *found = NULL;
 	unsigned seen = 0;
@@ -115,8 +132,8 @@
 	for (unsigned i = 1; i < m->count; i++) {
 		const struct tr_node *node = &m->nodes[i];
 
-		if (node->ip == but || node->near != near ||
-		    !is_holder(s, m, node, revision, now) ||
+		if (node->ip == except || node->near != near ||
+		    !is_source(s, m, node, revision, now) ||
 		    (found && found->here && !node->here))
 			continue;
 		if (found && node->here && !found->here)
@@ -128,10 +145,11 @@
 }
 
 /*
- * Whom to ask now for what is newer than the revision held; NULL when there is
- * none or it is not yet time. refused is a revision that could not be read. An
- * older one that is near goes before the newest of another group: while
- * configurations come every tenth of a second the newest is always elsewhere.
+ * Returns the VM to fetch from now to get a revision newer than held, or NULL
+ * if there is none or it is too early. refused is a revision that could not be
+ * read. An older revision inside the group is preferred to the newest one in
+ * another group: while configurations change every tenth of a second, the
+ * newest one is always elsewhere.
  */
 const struct tr_node *tr_spread_choose_source(struct tr_spread *s,
 					      const struct tr_membership *m,
@@ -140,51 +158,53 @@
 					      apr_time_t now)
 {
 	uint64_t newest = tr_spread_newest_revision(m, s->what, now);
-	const struct tr_node *holder;
+	const struct tr_node *source;
 	bool near;
 
 	if (newest <= held || newest <= refused)
 		return NULL;
 	if (s->wanted <= held)
-		s->ask_at =
-			now + TR_MSEC(tr_random_below(random, FIRST_WAIT_MS));
-	if (s->wanted <= held || s->held_before != held)
-		s->lacking_since = now;
-	s->held_before = held;
+		s->ask_at = now +
+			    TR_MSEC(tr_random_below(random, INITIAL_JITTER_MS));
+	if (s->wanted <= held || s->last_held != held)
+		s->outdated_since = now;
+	s->last_held = held;
 	s->wanted = newest;
 	if (now < s->ask_at)
 		return NULL;
-	near = newest_near(s, m, now) > held;
+	near = newest_in_group(s, m, now) > held;
 	if (near)
-		newest = newest_near(s, m, now);
-	if (newest <= refused || !may_ask(s, m, newest, near, now))
+		newest = newest_in_group(s, m, now);
+	if (newest <= refused || !may_fetch(s, m, newest, near, now))
 		return NULL;
-	holder = draw(s, m, newest, near, s->turned_away_by, random, now);
-	if (!holder)
-		holder = draw(s, m, newest, near, 0, random, now);
-	s->turned_away_by = 0;
-	return holder;
+	source = draw_source(s, m, newest, near, s->refused_by, random, now);
+	if (!source)
+		source = draw_source(s, m, newest, near, 0, random, now);
+	s->refused_by = 0;
+	return source;
 }
 
-/* The holder gave nothing: ask another, a little later. */
-void tr_spread_failed(struct tr_spread *s, uint32_t holder,
+/* The source sent nothing: retry with another one after a delay. */
+void tr_spread_failed(struct tr_spread *s, uint32_t source,
 		      struct tr_random *random, apr_time_t now)
 {
-	s->turned_away_by = holder;
-	s->ask_at =
-		now + AGAIN_LEAST + TR_MSEC(tr_random_below(random, AGAIN_MS));
+	s->refused_by = source;
+	s->ask_at = now + REFETCH_MIN +
+		    TR_MSEC(tr_random_below(random, REFETCH_JITTER_MS));
 }
 
-/* May a copy of so many bytes be sent now? If so its time on the link counts.
+/*
+ * Whether a copy of this size may be sent now. If so, its transmission time is
+ * booked on the link.
  */
 bool tr_spread_link_reserve(struct tr_spread_link *link, size_t bytes,
 			    apr_time_t now)
 {
-	if (link->taken_until < now)
-		link->taken_until = now;
-	if (link->taken_until - now > LINK_AHEAD)
+	if (link->busy_until < now)
+		link->busy_until = now;
+	if (link->busy_until - now > LINK_BACKLOG_MAX)
 		return false;
-	link->taken_until +=
+	link->busy_until +=
 		(apr_time_t)((double)bytes * 1e6 / link->bytes_a_second);
 	return true;
 }
--- a/lib/spread.h
+++ b/lib/spread.h
@@ -4,20 +4,26 @@
 #include "hash.h"
 #include "membership.h"
 
-/* Where a VM that lacks the newest of what it asks for stands in getting it. */
+/* State of fetching the newest revision of one kind of data from another VM. */
 struct tr_spread {
 	enum tr_resource what;
+	/*
+	 * Newest revision that other VMs were known to have, at the last check.
+	 */
 	uint64_t wanted;
-	uint64_t held_before;
-	apr_time_t lacking_since;
+	/* Revision that this VM held at the last check. */
+	uint64_t last_held;
+	apr_time_t outdated_since;
+	/* Earliest time of the next request. */
 	apr_time_t ask_at;
-	uint32_t turned_away_by;
+	/* Address of the VM that last failed to serve the revision, or 0. */
+	uint32_t refused_by;
 };
 
-/* What a VM may hand out: its link, and until when that is taken. */
+/* Outgoing link on which this VM serves copies, and how far it is booked. */
 struct tr_spread_link {
 	double bytes_a_second;
-	apr_time_t taken_until;
+	apr_time_t busy_until;
 };
 
 uint64_t tr_spread_newest_revision(const struct tr_membership *m,
@@ -27,7 +33,7 @@
 					      uint64_t held, uint64_t refused,
 					      struct tr_random *random,
 					      apr_time_t now);
-void tr_spread_failed(struct tr_spread *s, uint32_t holder,
+void tr_spread_failed(struct tr_spread *s, uint32_t source,
 		      struct tr_random *random, apr_time_t now);
 bool tr_spread_link_reserve(struct tr_spread_link *link, size_t bytes,
 			    apr_time_t now);
--- a/tests/spread_test.cc
+++ b/tests/spread_test.cc
@@ -106,7 +106,7 @@
 		sent += copy_bytes;
 		vm.asking = true;
 		vm.copy = { holder->ip - 1,
-			    std::max(now, from.link.taken_until) + TR_MSEC(4) };
+			    std::max(now, from.link.busy_until) + TR_MSEC(4) };
 	}
 
 	void step()
