--- a/lib/allowance.c
+++ b/lib/allowance.c
@@ -1,44 +1,55 @@
 /*
- * The fleet's bound on repeats. Each VM earns repeats by the requests that come
- * to it and by its part of the slack, and saves up few of them, so that all
- * together keep the bound even if no VM hears of another: a request is counted
- * by one VM, wherever its caller goes, and what a process that ends had saved
- * up is lost.
+ * The fleet's bound on repeats, that is on requests that are sent to one more
+ * target. Each VM has a token bucket per service, which is filled by the
+ * requests that the VM receives and by its share of the slack. The buckets are
+ * small, so that all VMs together keep within the bound even if no VM receives
+ * messages from another: each request is counted by one VM, whichever VM the
+ * caller uses next, and tokens saved by a process that ends are lost.
  *
- * VMs also tell each other what came and what they repeated. By that they stop
- * earlier, where callers have moved away from VMs that had already spent.
+ * VMs also report to each other the requests and repeats that they counted.
+ * With these reports they stop earlier if callers have moved away from VMs that
+ * have already used their tokens.
  */
 #include "allowance.h"
 
 #include <math.h>
 
-/* Part of the bound that is used: the rest is for what arrives in another
- * window than it was counted in. */
-#define USED_SHARE 0.96
-/* Part of a window's repeats that a VM saves up. */
-#define SAVED_SHARE 0.7
-/* The same where that is less than one repeat. */
-#define SAVED_SHARE_FEW 0.9
-/* Windows over which the requests that come to a VM are evened out. */
-#define STEADY_WINDOWS 3
-/* Windows for which a VM that is silent counts as having sent what it had saved
- * up: it may run on behind a cut for one before that is sent. */
+/*
+ * Share of the bound that is used. The rest covers what arrives in another
+ * window than the one it is counted in.
+ */
+#define USABLE_SHARE 0.96
+/*
+ * Size of the bucket as a share of the repeats that a VM may send in a window.
+ */
+#define BURST_SHARE 0.7
+/* The same if that would be less than one repeat. */
+#define BURST_SHARE_SMALL 0.9
+/* Averaging time of the requests that a VM receives, in windows. */
+#define AVERAGE_WINDOWS 3
+/*
+ * For how many windows a silent VM counts as having sent the repeats it had
+ * saved: a partitioned VM may run for one window before it sends them.
+ */
 #define SILENT_WINDOWS 2
-/* Consecutive addresses times this, less whole numbers, are spread evenly. */
+/* Multiples of this, modulo 1, spread consecutive addresses evenly. */
 #define GOLDEN 0.6180339887498949
 
-/* Begin to count. Which VM of which service it is decides how it rounds. */
+/*
+ * Starts counting. The VM's address and the service determine how fractions of
+ * a token are rounded.
+ */
 void tr_allowance_init(struct tr_allowance *a, uint32_t vm, uint32_t service,
 		       apr_time_t now)
 {
 	double whole;
 
-	*a = (struct tr_allowance){ .known_since = now };
-	a->ahead = modf(((double)vm + service % 1024) * GOLDEN, &whole);
+	*a = (struct tr_allowance){ .counting_since = now };
+	a->overdraft = modf(((double)vm + service % 1024) * GOLDEN, &whole);
 }
 
-static void turn(struct tr_allowance *a, const struct tr_repeat_bound *bound,
-		 apr_time_t now)
+static void advance_window(struct tr_allowance *a,
+			   const struct tr_repeat_bound *bound, apr_time_t now)
 {
 	apr_time_t part = now / (bound->window / TR_ALLOWANCE_PARTS);
 	apr_time_t passed = part - a->part;
@@ -51,100 +62,108 @@
 		a->requests[at] = 0;
 		a->repeats[at] = 0;
 		a->own_requests[at] = 0;
-		a->spent[at] = 0;
+		a->repeats_sent[at] = 0;
 	}
 	a->part = part;
 }
 
-/* This VM's part of what the bound allows beside requests, a window. */
+/* This VM's share of the slack, in repeats per window. */
 static double own_slack(const struct tr_repeat_bound *bound)
 {
 	return bound->vms ? bound->slack / bound->vms : 0;
 }
 
-/* How many repeats the VM of the bucket may send in a window, by the pace at
- * which requests come to it in the long run: by those of the window alone VMs
- * would each spend when their own luck is best. */
-static double own_most(const struct tr_repeat_bucket *p,
-		       const struct tr_repeat_bound *bound, apr_time_t now)
+/*
+ * How many repeats the VM that owns the bucket may send in a window, from its
+ * average request rate. With the requests of the current window alone each VM
+ * would send most in the windows in which it happens to receive most.
+ */
+static double vm_budget(const struct tr_repeat_bucket *p,
+			const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	double steady_for = STEADY_WINDOWS * (double)bound->window;
-	double counted =
-		fmax((double)(now - p->first_at), (double)bound->window);
-	double faded = exp(-(double)(now - p->faded_at) / steady_for);
-	double requests = p->steady * faded / (1 - exp(-counted / steady_for)) /
-			  STEADY_WINDOWS;
-
-	return USED_SHARE * (bound->ratio * requests + own_slack(bound));
+	double averaging_us = AVERAGE_WINDOWS * (double)bound->window;
+	double counted = fmax((double)(now - p->first_request_at),
+			      (double)bound->window);
+	double decay = exp(-(double)(now - p->averaged_at) / averaging_us);
+	double requests = p->average_requests * decay /
+			  (1 - exp(-counted / averaging_us)) / AVERAGE_WINDOWS;
+
+	return USABLE_SHARE * (bound->ratio * requests + own_slack(bound));
 }
 
-/* How many of these it may save up, and send at once. */
-static double saved_most(double own)
+/* How many of these may be saved up and sent at once. */
+static double bucket_size(double own)
 {
-	return fmax(SAVED_SHARE * own, fmin(1, SAVED_SHARE_FEW * own));
+	return fmax(BURST_SHARE * own, fmin(1, BURST_SHARE_SMALL * own));
 }
 
-/* Requests have come to the VM of the bucket. */
+/* Counts requests that the VM that owns the bucket received. */
 static void add_requests(struct tr_repeat_bucket *p,
 			 const struct tr_repeat_bound *bound, unsigned requests,
 			 apr_time_t now)
 {
-	if (!p->first_at)
-		p->first_at = now;
-	p->steady *= exp(-(double)(now - p->faded_at) /
-			 (STEADY_WINDOWS * (double)bound->window));
-	p->steady += requests;
-	p->faded_at = now;
+	if (!p->first_request_at)
+		p->first_request_at = now;
+	p->average_requests *= exp(-(double)(now - p->averaged_at) /
+				   (AVERAGE_WINDOWS * (double)bound->window));
+	p->average_requests += requests;
+	p->averaged_at = now;
 }
 
-static void earn(struct tr_repeat_bucket *p,
-		 const struct tr_repeat_bound *bound, double repeats,
-		 apr_time_t now)
+static void add_tokens(struct tr_repeat_bucket *p,
+		       const struct tr_repeat_bound *bound, double repeats,
+		       apr_time_t now)
 {
-	p->tokens = fmin(p->tokens + USED_SHARE * repeats,
-			 saved_most(own_most(p, bound, now)));
+	p->tokens = fmin(p->tokens + USABLE_SHARE * repeats,
+			 bucket_size(vm_budget(p, bound, now)));
 }
 
-/* Take the part of the slack for the time that has passed since it was last
- * taken. */
-static double take_slack(struct tr_repeat_bucket *p,
-			 const struct tr_repeat_bound *bound, apr_time_t now)
+/*
+ * Returns the share of the slack for the time since the last call, in repeats.
+ */
+static double accrue_slack(struct tr_repeat_bucket *p,
+			   const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	double windows =
-		fmin(1, (double)(now - p->earned_at) / (double)bound->window);
+	double windows = fmin(1, (double)(now - p->slack_accrued_at) /
+					 (double)bound->window);
 
-	p->earned_at = now;
+	p->slack_accrued_at = now;
 	return windows * own_slack(bound);
 }
 
-/* Which part of what a request or time earns this VM gets: in its first window
- * not what an earlier process of it may have saved up and sent. */
+/*
+ * Which share of the tokens this VM gets. In its first window it leaves out
+ * those that an earlier process on this VM may have saved up and sent.
+ */
 static double earned_share(const struct tr_allowance *a,
 			   const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	double own = own_most(&a->bucket, bound, now);
+	double own = vm_budget(&a->bucket, bound, now);
 
-	if (now - a->known_since >= bound->window || own <= 0)
+	if (now - a->counting_since >= bound->window || own <= 0)
 		return 1;
-	return 1 - saved_most(own) / own;
+	return 1 - bucket_size(own) / own;
 }
 
-/* A caller's request for the service has come. */
+/* Counts a request for the service from a caller. */
 void tr_allowance_request(struct tr_allowance *a,
 			  const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	turn(a, bound, now);
+	advance_window(a, bound, now);
 	a->requests[a->part % TR_ALLOWANCE_SLOTS]++;
 	a->own_requests[a->part % TR_ALLOWANCE_SLOTS]++;
 	a->own.requests++;
 	add_requests(&a->bucket, bound, 1, now);
-	earn(&a->bucket, bound, earned_share(a, bound, now) * bound->ratio,
-	     now);
+	add_tokens(&a->bucket, bound,
+		   earned_share(a, bound, now) * bound->ratio, now);
 }
 
-/* Another VM has told its totals; before is what it told last, at since.
- * Requests count when they came, by an even pace; repeats, of which none may be
- * forgotten too early, count now. */
+/*
+ * Takes in the totals reported by another VM. before is its previous report,
+ * received at since. Its requests are distributed evenly over the time between
+ * the reports; its repeats count as sent now, so that none leaves the window
+ * too early.
+ */
 void tr_allowance_reported(struct tr_allowance *a,
 			   const struct tr_repeat_bound *bound,
 			   const struct tr_work_totals *before,
@@ -154,7 +173,7 @@
 	unsigned requests = (uint16_t)(reported->requests - before->requests);
 	apr_time_t parts;
 
-	turn(a, bound, now);
+	advance_window(a, bound, now);
 	a->repeats[a->part % TR_ALLOWANCE_SLOTS] +=
 		(uint16_t)(reported->repeats - before->repeats);
 	parts = a->part - since / (bound->window / TR_ALLOWANCE_PARTS) + 1;
@@ -170,8 +189,10 @@
 	}
 }
 
-/* Another VM has told its totals; before is what it told last. What it may have
- * saved up by now. */
+/*
+ * Updates the tokens that another VM may have saved up, from its reported
+ * totals; before is its previous report.
+ */
 void tr_repeat_bucket_reported(struct tr_repeat_bucket *bucket,
 			       const struct tr_repeat_bound *bound,
 			       const struct tr_work_totals *before,
@@ -185,14 +206,16 @@
 	if (!requests && !repeats)
 		return;
 	add_requests(bucket, bound, requests, now);
-	earned = take_slack(bucket, bound, now) + bound->ratio * requests;
-	earn(bucket, bound, earned - repeats / USED_SHARE, now);
+	earned = accrue_slack(bucket, bound, now) + bound->ratio * requests;
+	add_tokens(bucket, bound, earned - repeats / USABLE_SHARE, now);
 	bucket->tokens = fmax(bucket->tokens, 0);
 }
 
-/* How many repeats another VM may have sent in the window since it was last
- * heard: what it had saved up, which it may have sent late, behind a cut. What
- * it earned since was by requests that are not heard of either. */
+/*
+ * How many repeats another VM may have sent since its last report: those that
+ * it had saved up, which it may have sent late behind a partition. What it
+ * gained since then came from requests that have not been reported either.
+ */
 double tr_repeat_bucket_unreported(const struct tr_repeat_bucket *bucket,
 				   const struct tr_repeat_bound *bound,
 				   apr_time_t heard_at, apr_time_t now)
@@ -202,8 +225,10 @@
 	return silent < SILENT_WINDOWS * bound->window ? bucket->tokens : 0;
 }
 
-/* Another VM, of which this is the bucket, has started anew: what its last
- * process may have sent and not told counts as sent. */
+/*
+ * Another VM, which owns this bucket, has restarted: repeats that its previous
+ * process may have sent without reporting them count as sent.
+ */
 void tr_allowance_vm_restarted(struct tr_allowance *a,
 			       const struct tr_repeat_bound *bound,
 			       const struct tr_repeat_bucket *bucket,
@@ -212,12 +237,14 @@
 	double unreported =
 		tr_repeat_bucket_unreported(bucket, bound, heard_at, now);
 
-	turn(a, bound, now);
+	advance_window(a, bound, now);
 	a->repeats[a->part % TR_ALLOWANCE_SLOTS] += (uint32_t)ceil(unreported);
 }
 
-/* Requests a second that the VMs heard get for the service: over the window, or
- * lately if that are more. */
+/*
+ * Requests a second for the service at all VMs that report: the average over
+ * the window, or the current rate if that is higher.
+ */
 double tr_allowance_rate(struct tr_allowance *a,
 			 const struct tr_repeat_bound *bound, apr_time_t now)
 {
@@ -225,7 +252,7 @@
 	double all = 0;
 	double lately;
 
-	turn(a, bound, now);
+	advance_window(a, bound, now);
 	for (int i = 0; i < TR_ALLOWANCE_SLOTS; i++)
 		all += a->requests[i];
 	lately = a->requests[a->part % TR_ALLOWANCE_SLOTS] +
@@ -234,7 +261,7 @@
 	return fmax(all / (part_s * TR_ALLOWANCE_PARTS), lately / part_s);
 }
 
-/* Add up the parts of the window, as they were when last turned. */
+/* Sums the parts of the window, as of the last call that advanced it. */
 void tr_allowance_sum(const struct tr_allowance *a,
 		      struct tr_allowance_sums *sums)
 {
@@ -243,16 +270,18 @@
 		sums->requests += a->requests[i];
 		sums->repeats += a->repeats[i];
 		sums->own_requests += a->own_requests[i];
-		sums->own_repeats += a->spent[i];
+		sums->own_repeats += a->repeats_sent[i];
 	}
 }
 
-/* Do so many repeats in each part, and sent beside them now, keep to the pace:
- * what may be saved up at once, the rest as time passes? */
+/*
+ * Whether these repeats per part of the window, plus sent more now, stay within
+ * the pace: a burst up to the bucket size at once, the rest as time passes.
+ */
 static bool keeps_pace(const uint32_t *repeats, apr_time_t part, double sent,
 		       double most)
 {
-	double saved = saved_most(most);
+	double saved = bucket_size(most);
 
 	for (int i = 0; i < TR_ALLOWANCE_SLOTS; i++) {
 		sent += repeats[(part + TR_ALLOWANCE_SLOTS - i) %
@@ -264,29 +293,31 @@
 }
 
 /*
- * Would one more repeat be within this VM's part of the bound, in the window
- * and at every moment of it? A process that took over in the window from one
- * that ended can't know what that had sent, and earns the rest only.
+ * Whether one more repeat stays within this VM's share of the bound, over the
+ * window and at every point in it. A process that replaced another one during
+ * the window cannot know what that one sent, so it uses only newly earned
+ * tokens.
  */
 static bool vm_keeps_pace(const struct tr_allowance *a,
 			  const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	return keeps_pace(a->spent, a->part, 1 - a->ahead,
-			  own_most(&a->bucket, bound, now));
+	return keeps_pace(a->repeats_sent, a->part, 1 - a->overdraft,
+			  vm_budget(&a->bucket, bound, now));
 }
 
 /*
- * The same of the fleet, as far as it is heard, so that what a process that
- * starts earns is left. Of the part of the window before this VM began, the
- * slack counts as used. Of the oldest part, which is in the window no longer
- * than this one is filled, the repeats count and the requests don't.
+ * The same for all VMs that report, so that a process that has just started can
+ * still use what it earns. For the part of the window before this VM started
+ * counting, the slack counts as used. Of the oldest part of the window, which
+ * leaves it while the current part is filled, repeats count and requests do
+ * not.
  */
 static bool fleet_keeps_pace(const struct tr_allowance *a,
 			     const struct tr_repeat_bound *bound,
 			     apr_time_t now)
 {
-	double known =
-		fmin(1, (double)(now - a->known_since) / (double)bound->window);
+	double known = fmin(1, (double)(now - a->counting_since) /
+				       (double)bound->window);
 	double slack = own_slack(bound) * bound->heard * known;
 	struct tr_allowance_sums sums;
 	unsigned oldest = a->requests[(a->part + 1) % TR_ALLOWANCE_SLOTS];
@@ -294,27 +325,31 @@
 	tr_allowance_sum(a, &sums);
 	return keeps_pace(
 		a->repeats, a->part, 1 + a->unreported,
-		USED_SHARE * (bound->ratio * (sums.requests - oldest) + slack));
+		USABLE_SHARE *
+			(bound->ratio * (sums.requests - oldest) + slack));
 }
 
-/* May a request be sent to one more target? If so, it is counted. */
+/*
+ * Whether a request may be sent to one more target. If so, the repeat is
+ * counted.
+ */
 bool tr_allowance_spend(struct tr_allowance *a,
 			const struct tr_repeat_bound *bound, apr_time_t now)
 {
 	double slack;
 	unsigned at;
 
-	turn(a, bound, now);
-	if (!a->bucket.earned_at)
-		a->bucket.earned_at = a->known_since;
-	slack = take_slack(&a->bucket, bound, now);
-	earn(&a->bucket, bound, earned_share(a, bound, now) * slack, now);
-	if (a->bucket.tokens + a->ahead < 1 || !vm_keeps_pace(a, bound, now) ||
-	    !fleet_keeps_pace(a, bound, now))
+	advance_window(a, bound, now);
+	if (!a->bucket.slack_accrued_at)
+		a->bucket.slack_accrued_at = a->counting_since;
+	slack = accrue_slack(&a->bucket, bound, now);
+	add_tokens(&a->bucket, bound, earned_share(a, bound, now) * slack, now);
+	if (a->bucket.tokens + a->overdraft < 1 ||
+	    !vm_keeps_pace(a, bound, now) || !fleet_keeps_pace(a, bound, now))
 		return false;
 	at = a->part % TR_ALLOWANCE_SLOTS;
 	a->bucket.tokens--;
-	a->spent[at]++;
+	a->repeats_sent[at]++;
 	a->repeats[at]++;
 	a->own.repeats++;
 	return true;
--- a/lib/allowance.h
+++ b/lib/allowance.h
@@ -5,63 +5,76 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* The window is kept in so many parts, and one that is being filled, so that
- * no span of the window's length holds more repeats than are counted. */
+/*
+ * The window is kept in this many parts, plus one that is being filled, so that
+ * no span of the window's length holds more repeats than are counted.
+ */
 #define TR_ALLOWANCE_PARTS 20
 #define TR_ALLOWANCE_SLOTS (TR_ALLOWANCE_PARTS + 1)
 
-/* The fleet's bound on repeats, from the settings. vms: among how many VMs the
- * slack is divided; 0 while that is not known, and no slack may be used. heard:
- * how many of these tell this VM what they repeat. */
+/*
+ * The fleet's bound on repeats, from the settings: a ratio to requests, and a
+ * slack beside it.
+ */
 struct tr_repeat_bound {
 	double ratio;
 	double slack;
 	apr_time_t window;
+	/*
+	 * VMs that share the slack; 0 while unknown, in which case none may be
+	 * used.
+	 */
 	unsigned vms;
+	/* VMs among them that report their repeats to this VM. */
 	unsigned heard;
 };
 
-/* Running totals of one VM for one service; they wrap around. */
+/* Running totals of one VM for one service. They wrap around. */
 struct tr_work_totals {
 	uint16_t requests;
 	uint16_t repeats;
 };
 
-/* What a VM has saved up: the repeats that it may send now, at earned_at.
- * steady: its requests, which fade slowly, at faded_at, since the first. */
+/* Token bucket of one VM: repeats that it may send now. */
 struct tr_repeat_bucket {
 	double tokens;
-	double steady;
-	apr_time_t earned_at;
-	apr_time_t faded_at;
-	apr_time_t first_at;
+	/*
+	 * Exponentially decayed count of the VM's requests, as of averaged_at.
+	 */
+	double average_requests;
+	apr_time_t slack_accrued_at;
+	apr_time_t averaged_at;
+	/* 0 until the VM has received a request. */
+	apr_time_t first_request_at;
 };
 
 /*
- * Requests for one service, and those that were sent to one more target, by
- * parts of the window: requests and repeats by the whole fleet as far as it is
- * heard; own_requests and spent by this VM alone. own is what this VM adds, to
- * be told to the others. ahead: how much of a token may be missing when it
- * sends one. unreported: what VMs that are silent may have sent since they were
- * last heard. known_since: when this VM began to count. denied and
- * logged_attempts are for the log.
+ * Requests for one service and their repeats, by parts of the window, as one VM
+ * knows them.
  */
 struct tr_allowance {
+	/* Counts of all VMs that report, and of this VM alone. */
 	uint32_t requests[TR_ALLOWANCE_SLOTS];
 	uint32_t repeats[TR_ALLOWANCE_SLOTS];
 	uint32_t own_requests[TR_ALLOWANCE_SLOTS];
-	uint32_t spent[TR_ALLOWANCE_SLOTS];
+	uint32_t repeats_sent[TR_ALLOWANCE_SLOTS];
+	/* Number of the current part since time 0. */
 	apr_time_t part;
-	apr_time_t known_since;
+	/* When this process started counting. */
+	apr_time_t counting_since;
 	struct tr_repeat_bucket bucket;
-	double ahead;
+	/* Fraction of a token that may be missing when a repeat is sent. */
+	double overdraft;
+	/* Repeats that silent VMs may have sent since their last report. */
 	double unreported;
+	/* This VM's totals, to be reported to the others. */
 	struct tr_work_totals own;
+	/* For the log: repeats refused, and attempts at the last log line. */
 	unsigned denied;
 	unsigned logged_attempts;
 };
 
-/* What the window holds, as far as it is known. */
+/* Sums over the window, as far as they have been reported. */
 struct tr_allowance_sums {
 	unsigned requests;
 	unsigned repeats;
