--- a/lib/limit.c
+++ b/lib/limit.c
@@ -1,16 +1,16 @@
 /*
- * An organisation's limit over all VMs, of which each sees a small part of the
- * organisation's requests. VMs of a group tell each other what came and what
- * they let through, as running totals; groups tell each other how many requests
- * a second they get, and share the limit by that. While more comes than is
- * allowed, each VM lets the same part of it through.
+ * Fleet-wide rate limit of an organisation, of whose requests each VM sees only
+ * a small share. The VMs of a group report to each other, as running totals,
+ * the requests that arrived and those that they admitted; groups report their
+ * request rates to each other and divide the limit accordingly. While more
+ * arrives than is allowed, each VM admits the same share of its requests.
  *
- * What goes wrong with a share for each VM: one that gets three requests of an
- * organisation at once refuses two, though the fleet is far below the limit.
- * What goes wrong with totals alone: all VMs see the same request become free,
- * and each lets one through. And a VM that is cut off sees nobody else use
- * anything; so the part that it lets through follows the rate it last knew,
- * which fades slowly, and its part of the limit falls as VMs fall silent.
+ * Failures that this prevents: with a fixed share for each VM, one that gets
+ * three requests of an organisation at once refuses two of them, though the
+ * fleet is far below the limit. With totals alone, all VMs see the same free
+ * request and each admits one. A VM that is cut off sees no use by others; so
+ * its admission rate follows the arrival rate it last knew, which decays
+ * slowly, and its share of the limit falls as VMs stop reporting.
  */
 #include "limit.h"
 
@@ -20,43 +20,57 @@
 
 #include "clock.h"
 
-/* Parts of what may be overrun that are used on purpose, so that chance refuses
- * nothing just below the limit. The rest is for what VMs let through before
- * they hear of each other's: a part of what is allowed, where a flood of five
- * times as much is noticed after a tenth of a second; hardly any of the number
- * that is free for the smallest organisation too. */
-#define USED_OVER  0.02
-#define USED_SLACK 0.8
-/* The same of the number while a VM has just begun: as much as one request of a
- * small organisation needs. */
-#define USED_AT_START 0.3
-/* Time in which what is saved up is let through, in s. Several times what news
- * takes, so that VMs do not all let through the same. */
-#define EVEN_S 0.35
-/* Spans over which rates are measured, in s: a flood is noticed by the first;
- * the second holds on while a VM is cut off, for as long as it takes to notice
- * that. */
+/*
+ * Shares of the permitted overrun that are used on purpose, so that random
+ * variation refuses nothing just below the limit. The rest covers what VMs
+ * admit before they receive each other's reports: a share of the limit, as a
+ * flood of five times the limit is noticed after a tenth of a second, and
+ * hardly any of the slack that even the smallest organisation has.
+ */
+#define USED_OVERRUN_SHARE 0.02
+#define USED_SLACK_SHARE   0.8
+/*
+ * The same share of the slack just after a VM has started: enough for one
+ * request of a small organisation.
+ */
+#define USED_SLACK_AT_START 0.3
+/*
+ * Time over which unused capacity is admitted, in s. Several times the delay of
+ * a report, so that VMs do not all admit the same requests.
+ */
+#define SMOOTHING_S 0.35
+/*
+ * Time constants of the measured rates, in s. The fast one notices a flood; the
+ * slow one keeps its value while a VM is cut off, for as long as it takes to
+ * notice that.
+ */
 #define FAST_S 0.7
 #define SLOW_S 1.5
-/* The same for a group's part of the limit: as long as the window in which what
- * it let through is counted, so that both follow callers that move. */
+/*
+ * Time constant for a group's share of the limit. It equals the window over
+ * which admitted requests are counted, so that both follow callers that move.
+ */
 #define STEADY_S 5.0
-/* How long callers may have found no VM when all were lost, in s. */
-#define DOWN_S 1.0
-/* How long a VM has just begun, in s: until it has heard the others' rates. */
-#define BEGINS_S 1
-/* A shorter count says nothing, in s. */
-#define LEAST_S 0.2
-/* How long another group's word on its rate counts: as long as its VMs count
- * as there without a new one. */
-#define GROUP_HOLDS TR_MSEC(2000)
-/* What a caller is told to wait at least and at most when it is refused. */
+/* How long callers may have found no VM if all were lost, in s. */
+#define OUTAGE_S 1.0
+/*
+ * Time after the start of counting until the other VMs' rates are known, in s.
+ */
+#define WARMUP_S 1
+/* Shortest counting time from which a rate is computed, in s. */
+#define MIN_COUNTED_S 0.2
+/*
+ * How long a group's reported rate is used: as long as its VMs count as alive
+ * without another message.
+ */
+#define GROUP_REPORT_TTL TR_MSEC(2000)
+/* Bounds of the Retry-After sent with a refusal. */
 #define RETRY_AFTER_MIN_US TR_MSEC(200)
 #define RETRY_AFTER_MAX_US TR_MSEC(3000)
-/* Callers that are refused together come back over so long. */
+/* Interval over which callers that were refused together come back. */
 #define RETRY_JITTER_MS 1000
 
-/* How messages name an organisation. */
+/* Returns the number by which messages identify an organisation. */
 uint32_t tr_limit_name(const char *organisation)
 {
 	return (uint32_t)tr_hash_string(organisation);
@@ -83,7 +97,7 @@
 	return row;
 }
 
-/* The row of the name, or NULL. */
+/* Returns the organisation's row, or NULL. */
 struct tr_limit *tr_limits_find(struct tr_limits *limits, uint32_t name)
 {
 	uint32_t at;
@@ -92,7 +106,9 @@
 	return i == TR_NO_ROW ? NULL : &limits->rows[i];
 }
 
-/* The organisation's row, made when its name is new, by its place. */
+/*
+ * Returns the index of the organisation's row, which is added if it is missing.
+ */
 uint32_t tr_limits_find_or_add(struct tr_limits *limits,
 			       const char *organisation)
 {
@@ -104,12 +120,14 @@
 	return (uint32_t)(row - limits->rows);
 }
 
-/* This VM has stood still: what others did meanwhile is not known, as after a
- * start. */
+/*
+ * This VM was suspended: as after a restart, it does not know what the others
+ * admitted meanwhile.
+ */
 void tr_limits_restart(struct tr_limits *limits, apr_time_t now)
 {
 	for (unsigned i = 0; i < limits->count; i++)
-		limits->rows[i].known_since = now;
+		limits->rows[i].counting_since = now;
 }
 
 void tr_limits_release(struct tr_limits *limits)
@@ -121,55 +139,57 @@
 	memset(limits, 0, sizeof(*limits));
 }
 
-/* Let the rates fade to now. */
-static void fade(struct tr_limit *l, apr_time_t now)
+/* Decays the rates to the present. */
+static void decay_rates(struct tr_limit *l, apr_time_t now)
 {
-	double s = l->at ? (double)(now - l->at) / 1e6 : 0;
+	double s = l->decayed_at ? (double)(now - l->decayed_at) / 1e6 : 0;
 
 	if (s > 0) {
-		l->fast *= exp(-s / FAST_S);
-		l->slow *= exp(-s / SLOW_S);
-		l->steady *= exp(-s / STEADY_S);
+		l->rate_fast *= exp(-s / FAST_S);
+		l->rate_slow *= exp(-s / SLOW_S);
+		l->rate_window *= exp(-s / STEADY_S);
 	}
-	l->at = now;
+	l->decayed_at = now;
 }
 
-/* Requests a second that this VM's group gets, over a window or since it has
- * counted: while all VMs start anew each group would else take the others to
- * want nothing. */
-static double steady_rate(const struct tr_limit *l, apr_time_t now)
+/*
+ * Requests a second that this VM's group gets, over the window or since
+ * counting began. Without this correction each group would assume after a
+ * restart of all VMs that the other groups want nothing.
+ */
+static double window_rate(const struct tr_limit *l, apr_time_t now)
 {
-	double s = (double)(now - l->known_since) / 1e6;
+	double s = (double)(now - l->counting_since) / 1e6;
 
-	return l->steady / (1 - exp(-fmax(s, LEAST_S) / STEADY_S));
+	return l->rate_window / (1 - exp(-fmax(s, MIN_COUNTED_S) / STEADY_S));
 }
 
-/* The same by the highest count, that of a moment or that of a while. */
-static double near_rate(const struct tr_limit *l)
+/* The same by the higher of the fast and the slow rate. */
+static double group_rate(const struct tr_limit *l)
 {
-	return fmax(l->fast, l->slow);
+	return fmax(l->rate_fast, l->rate_slow);
 }
 
 /*
- * The part of the limit that is this group's, as far as the fleet is heard:
- * what the others leave, or where all want more than there is, by what each
- * wants. A group that happens to get nothing for a moment has a part so all the
- * same. One that has told nothing yet is taken to want as much as this one:
- * while all VMs start anew, each group would else take the whole limit for its
- * own.
+ * This group's share of the limit, scaled by the share of the fleet that is
+ * heard: what the other groups leave over, or, if together they want more than
+ * the limit, in proportion to demand. So a group that happens to get no
+ * requests for a moment keeps a share. A group that has reported nothing yet is
+ * assumed to have as much demand as this one; otherwise each group would take
+ * the whole limit after a restart of all VMs.
  */
 double tr_limit_group_share(const struct tr_limit *l, apr_time_t now)
 {
-	double near = steady_rate(l, now);
+	double near = window_rate(l, now);
 	double others = 0;
 	double left;
 
 	if (l->rate <= 0)
 		return l->heard;
-	if (l->groups_all > l->groups_count + 1)
-		return l->heard / l->groups_all;
+	if (l->fleet_groups > l->groups_count + 1)
+		return l->heard / l->fleet_groups;
 	for (unsigned i = 0; i < l->groups_count; i++)
-		if (now - l->groups[i].reported_at < GROUP_HOLDS)
+		if (now - l->groups[i].reported_at < GROUP_REPORT_TTL)
 			others += l->groups[i].rate;
 	left = (l->rate - others) / l->rate;
 	if (near > 0)
@@ -177,16 +197,19 @@
 	return l->heard * fmax(left, 0);
 }
 
-/* What is allowed in a window. */
-static double whole(const struct tr_limit *l,
-		    const struct tr_limit_bound *bound)
+/* Requests that the limit allows in a window. */
+static double window_limit(const struct tr_limit *l,
+			   const struct tr_limit_bound *bound)
 {
 	return l->rate * (double)bound->window / 1e6 + l->burst;
 }
 
-/* Turn to the part of the window that it is now. */
-static void turn(struct tr_limit *l, const struct tr_limit_bound *bound,
-		 apr_time_t now)
+/*
+ * Advances the window to the current part and clears the parts that have
+ * expired.
+ */
+static void advance_window(struct tr_limit *l,
+			   const struct tr_limit_bound *bound, apr_time_t now)
 {
 	apr_time_t slot = now / (bound->window / TR_LIMIT_PARTS);
 	apr_time_t passed = slot - l->slot;
@@ -198,54 +221,57 @@
 	l->slot = slot;
 }
 
-static bool has_just_begun(const struct tr_limit *l, apr_time_t now)
+static bool is_warming_up(const struct tr_limit *l, apr_time_t now)
 {
-	return now - l->known_since < TR_SEC(BEGINS_S);
+	return now - l->counting_since < TR_SEC(WARMUP_S);
 }
 
-/* Requests a second that the group gets. A VM that has just begun has counted
- * for a part of the span only; callers may have waited for it for so long. */
-static double coming_rate(const struct tr_limit *l, double waited_s,
-			  apr_time_t now)
+/*
+ * Requests a second that arrive at the group. A VM that has just started has
+ * counted for a part of the time constant only; callers may have waited for it
+ * for waited_s.
+ */
+static double arrival_rate(const struct tr_limit *l, double waited_s,
+			   apr_time_t now)
 {
-	double s = (double)(now - l->known_since) / 1e6 + waited_s;
+	double s = (double)(now - l->counting_since) / 1e6 + waited_s;
 
-	if (!has_just_begun(l, now))
-		return near_rate(l);
-	return l->fast / (1 - exp(-fmax(s, LEAST_S) / FAST_S));
+	if (!is_warming_up(l, now))
+		return group_rate(l);
+	return l->rate_fast / (1 - exp(-fmax(s, MIN_COUNTED_S) / FAST_S));
 }
 
 /*
- * What the group let through in the part of the window before this VM began:
- * nobody knows that after the loss of all VMs. It is taken to have been as much
- * as what comes now, up to the limit: an organisation that floods is held to
- * it, and one that keeps to it is not refused. With a window that was taken to
- * be full 270 of 1,264 requests were refused in the two seconds after such a
- * loss, 76 with this (104 VMs).
+ * Estimates what the group admitted in the part of the window before this VM
+ * started, which nobody knows after the loss of all VMs. It is assumed to equal
+ * the present arrival rate, up to the limit: an organisation that floods is
+ * held to its limit, and one that keeps to it is not refused. When the window
+ * was assumed to be full instead, 270 of 1,264 requests were refused in the two
+ * seconds after such a loss; with this estimate 76 (104 VMs).
  */
-static double used_before(const struct tr_limit *l,
-			  const struct tr_limit_bound *bound, double part,
-			  apr_time_t now)
+static double estimate_unknown_use(const struct tr_limit *l,
+				   const struct tr_limit_bound *bound,
+				   double part, apr_time_t now)
 {
-	apr_time_t left = bound->window - (now - l->known_since);
+	apr_time_t left = bound->window - (now - l->counting_since);
 	double window_s = (double)bound->window / 1e6;
 
 	if (left <= 0)
 		return 0;
-	return fmin(whole(l, bound) * part,
-		    coming_rate(l, DOWN_S, now) * window_s) *
+	return fmin(window_limit(l, bound) * part,
+		    arrival_rate(l, OUTAGE_S, now) * window_s) *
 	       (double)left / (double)bound->window;
 }
 
 static void count(struct tr_limit *l, unsigned came, unsigned admitted)
 {
-	l->fast += came / FAST_S;
-	l->slow += came / SLOW_S;
-	l->steady += came / STEADY_S;
+	l->rate_fast += came / FAST_S;
+	l->rate_slow += came / SLOW_S;
+	l->rate_window += came / STEADY_S;
 	l->used[l->slot % TR_LIMIT_SLOTS] += (float)admitted;
 }
 
-/* What the group let through in the window. */
+/* Requests that the group admitted in the window. */
 double tr_limit_used(const struct tr_limit *l)
 {
 	double sum = 0;
@@ -255,39 +281,44 @@
 	return sum;
 }
 
-/* Requests a second that leave the window now. What was let through before this
- * VM began may leave it later. */
-static double leaving_rate(const struct tr_limit *l,
-			   const struct tr_limit_bound *bound, apr_time_t now)
+/*
+ * Requests a second that expire from the window now. Those admitted before this
+ * VM started may expire later.
+ */
+static double expiry_rate(const struct tr_limit *l,
+			  const struct tr_limit_bound *bound, apr_time_t now)
 {
 	double part_s = (double)bound->window / 1e6 / TR_LIMIT_PARTS;
 
-	if (has_just_begun(l, now))
+	if (is_warming_up(l, now))
 		return 0;
 	return l->used[(l->slot + 1) % TR_LIMIT_SLOTS] / part_s;
 }
 
-/* The limit as a configuration sets it. A lower one binds at once. */
+/* Sets the limit from a configuration. A lower limit applies at once. */
 void tr_limit_set(struct tr_limit *l, double rate, double burst, apr_time_t now)
 {
-	if (!l->known_since)
-		l->known_since = now;
+	if (!l->counting_since)
+		l->counting_since = now;
 	l->rate = rate;
 	l->burst = burst;
 }
 
-/* Another VM of the group has told its totals; before is what it told last. */
+/*
+ * Takes in the totals reported by another VM of the group; before is its
+ * previous report.
+ */
 void tr_limit_reported(struct tr_limit *l, const struct tr_limit_bound *bound,
 		       const struct tr_limit_totals *before,
 		       const struct tr_limit_totals *reported, apr_time_t now)
 {
-	turn(l, bound, now);
-	fade(l, now);
+	advance_window(l, bound, now);
+	decay_rates(l, now);
 	count(l, (uint16_t)(reported->came - before->came),
 	      (uint16_t)(reported->admitted - before->admitted));
 }
 
-/* Another group has told its rate, in requests a second. */
+/* Takes in the rate reported by another group, in requests a second. */
 void tr_limit_group_reported(struct tr_limit *l, uint64_t group, double rate,
 			     apr_time_t now)
 {
@@ -311,31 +342,32 @@
 /* Requests a second that this VM's group gets now. */
 double tr_limit_demand(const struct tr_limit *l, apr_time_t now)
 {
-	struct tr_limit faded = *l;
+	struct tr_limit decayed = *l;
 
-	fade(&faded, now);
-	return steady_rate(&faded, now);
+	decay_rates(&decayed, now);
+	return window_rate(&decayed, now);
 }
 
 /*
- * A request of the organisation has come. Those that wait until this VM can
- * judge them are counted when they come, so that all know what they will meet:
- * counted when they were judged, 104 VMs that came back together in a flood let
- * all through that had waited, 1.08 of what operators allow (the load test).
+ * Counts an arriving request. Requests that wait until this VM can decide on
+ * them are counted on arrival, so that all VMs know the load to expect. When
+ * they were counted at the decision instead, 104 VMs that came back together in
+ * a flood admitted all requests that had waited, 1.08 times what operators
+ * allow (the load test).
  */
 void tr_limit_arrived(struct tr_limit *l, const struct tr_limit_bound *bound,
 		      apr_time_t now)
 {
-	turn(l, bound, now);
-	fade(l, now);
+	advance_window(l, bound, now);
+	decay_rates(l, now);
 	count(l, 1, 0);
 	l->own.came++;
 	l->changed = true;
 }
 
 /*
- * May a request of the organisation that has come go on? In a fleet of which
- * only a part is heard each side has only its part of the limit.
+ * Whether a request that was counted on arrival is admitted. In a partitioned
+ * fleet each side has only its share of the limit.
  */
 bool tr_limit_admit(struct tr_limit *l, const struct tr_limit_bound *bound,
 		    const struct tr_limit_fleet *heard,
@@ -346,23 +378,23 @@
 	double spare;
 	bool admitted = true;
 
-	/* VMs that are not heard yet are not lost. */
-	l->heard = has_just_begun(l, now) ? 1 : heard->share;
-	l->groups_all = heard->groups;
+	/* VMs that have not reported yet are not lost. */
+	l->heard = is_warming_up(l, now) ? 1 : heard->share;
+	l->fleet_groups = heard->groups;
 	part = tr_limit_group_share(l, now);
-	turn(l, bound, now);
-	fade(l, now);
+	advance_window(l, bound, now);
+	decay_rates(l, now);
 	if (l->rate > 0) {
-		spare = whole(l, bound) * part - tr_limit_used(l) -
-			used_before(l, bound, part, now);
-		if (has_just_begun(l, now))
-			spare += USED_AT_START * slack;
+		spare = window_limit(l, bound) * part - tr_limit_used(l) -
+			estimate_unknown_use(l, bound, part, now);
+		if (is_warming_up(l, now))
+			spare += USED_SLACK_AT_START * slack;
 		else
-			spare += USED_OVER * bound->over * whole(l, bound) *
-					 part +
-				 USED_SLACK * slack;
-		admitted = tr_random_unit(random) * coming_rate(l, 0, now) <
-			   leaving_rate(l, bound, now) + spare / EVEN_S;
+			spare += USED_OVERRUN_SHARE * bound->over *
+					 window_limit(l, bound) * part +
+				 USED_SLACK_SHARE * slack;
+		admitted = tr_random_unit(random) * arrival_rate(l, 0, now) <
+			   expiry_rate(l, bound, now) + spare / SMOOTHING_S;
 	}
 	if (!admitted)
 		return false;
@@ -372,13 +404,15 @@
 	return true;
 }
 
-/* When a caller that was refused should come back, in us: when what was let
- * through beyond the limit is made up for, and not all at once. */
+/*
+ * Retry-After in us for a refused caller: the time until the requests admitted
+ * beyond the limit are made up for, plus jitter.
+ */
 apr_time_t tr_limit_retry_after(const struct tr_limit *l,
 				const struct tr_limit_bound *bound,
 				struct tr_random *random)
 {
-	double beyond = tr_limit_used(l) - whole(l, bound) * l->heard;
+	double beyond = tr_limit_used(l) - window_limit(l, bound) * l->heard;
 	apr_time_t after = RETRY_AFTER_MIN_US;
 
 	if (l->rate > 0 && beyond > 0)
--- a/lib/limit.h
+++ b/lib/limit.h
@@ -8,73 +8,85 @@
 #include "hash.h"
 #include "index.h"
 
-/* The window is kept in so many parts, and one that is being filled, so that no
- * span of the window's length holds more than is counted. */
+/*
+ * The window is kept in this many parts, plus one that is being filled, so that
+ * no span of the window's length holds more requests than are counted.
+ */
 #define TR_LIMIT_PARTS 20
 #define TR_LIMIT_SLOTS (TR_LIMIT_PARTS + 1)
 
-/* By how much operators let a limit be overrun, from the settings: in any
- * window, by a part of what it allows and so many requests. */
+/*
+ * By how much a limit may be overrun in any window, from the settings: a share
+ * of what it allows, plus a number of requests.
+ */
 struct tr_limit_bound {
 	apr_time_t window;
 	double over;
 	double slack;
 };
 
-/* The part of the fleet that is heard, and into how many groups it is split. */
+/*
+ * The share of the fleet that this VM receives reports from, and the number of
+ * groups of VMs.
+ */
 struct tr_limit_fleet {
 	double share;
 	unsigned groups;
 };
 
-/* Running totals of one VM for one organisation: requests that came, and those
- * of them that were let through; they wrap around. */
+/*
+ * Running totals of one VM for one organisation: requests that arrived, and
+ * those of them that were admitted. They wrap around.
+ */
 struct tr_limit_totals {
 	uint16_t came;
 	uint16_t admitted;
 };
 
-/* What another group of VMs told last: requests a second it gets. */
+/* The last rate reported by another group of VMs, in requests a second. */
 struct tr_limit_group {
 	uint64_t group;
 	double rate;
 	apr_time_t reported_at;
 };
 
-/*
- * The limit of one organisation, as one VM keeps it: rate requests a second and
- * a burst on top in each window. used is what the VMs of its group let through,
- * by parts of the window; fast, slow and steady are requests a second that they
- * get, over different spans; heard and groups_all are what of the fleet was
- * heard when this VM looked last. own is what it adds, to be told to the
- * others.
- */
+/* The rate limit of one organisation, as one VM keeps it. */
 struct tr_limit {
+	/* Hash of the organisation's name, as messages carry it. */
 	uint32_t name;
+	/* Requests a second, and the burst allowed on top in each window. */
 	double rate;
 	double burst;
+	/*
+	 * Requests that the VMs of the group admitted, by part of the window.
+	 */
 	float used[TR_LIMIT_SLOTS];
+	/* Number of the current part since time 0. */
 	apr_time_t slot;
-	apr_time_t known_since;
-	double fast;
-	double slow;
-	double steady;
+	/* When this process started counting, or was last suspended. */
+	apr_time_t counting_since;
+	/* Requests a second at the group, with three time constants. */
+	double rate_fast;
+	double rate_slow;
+	double rate_window;
+	/* The struct tr_limit_fleet of the last decision. */
 	double heard;
-	unsigned groups_all;
-	apr_time_t at;
+	unsigned fleet_groups;
+	apr_time_t decayed_at;
+	/* This VM's totals, to be reported to the others. */
 	struct tr_limit_totals own;
 	bool changed;
 	struct tr_limit_group *groups;
 	unsigned groups_count;
 };
 
-/* All limits that a VM keeps. next_told and next_demand: where the next message
- * goes on. */
+/* All limits that a VM keeps. */
 struct tr_limits {
 	struct tr_limit *rows;
 	unsigned count;
 	unsigned room;
 	struct tr_index by_name;
+	/* Rows at which the next messages continue. */
 	uint32_t next_reported;
 	uint32_t next_demand;
 };
--- a/lib/send_limit.c
+++ b/lib/send_limit.c
@@ -19,7 +19,7 @@
 /* What may be saved up, in s of the limit, beside one request. */
 #define SAVED_S 0.5
 /* Time in which what is there is spent, in s. */
-#define EVEN_S 0.35
+#define SMOOTHING_S 0.35
 /* What was sent beyond the limit is made up for, but for no longer than this,
  * in s: what a VM hears of another for the first time may be long ago. */
 #define DEBT_MOST_S 4
@@ -202,5 +202,5 @@
  */
 bool tr_send_limits_admit(double tokens, double wanted, double drawn)
 {
-	return drawn * wanted * EVEN_S <= tokens;
+	return drawn * wanted * SMOOTHING_S <= tokens;
 }
