--- a/entry/mesh_limits.c
+++ b/entry/mesh_limits.c
@@ -20,7 +20,8 @@
 		l->changed = false;
 		uses[msg->uses.uses_len++] = (struct mesh_use){
 			.organisation = l->name,
-			.totals = (uint32_t)l->own.came << 16 | l->own.admitted,
+			.totals = (uint32_t)l->own.arrived << 16 |
+				  l->own.admitted,
 		};
 	}
 }
@@ -54,7 +55,7 @@
 {
 	struct tr_limit *l = tr_limits_find(&mesh->e->limits, in->organisation);
 	const struct tr_limit_totals totals = {
-		.came = (uint16_t)(in->totals >> 16),
+		.arrived = (uint16_t)(in->totals >> 16),
 		.admitted = (uint16_t)in->totals,
 	};
 	struct tr_limit_report *reported;
--- a/lib/limit.c
+++ b/lib/limit.c
@@ -263,11 +263,11 @@
 	       (double)left / (double)bound->window;
 }
 
-static void count(struct tr_limit *l, unsigned came, unsigned admitted)
+static void count(struct tr_limit *l, unsigned arrived, unsigned admitted)
 {
-	l->rate_fast += came / FAST_S;
-	l->rate_slow += came / SLOW_S;
-	l->rate_window += came / STEADY_S;
+	l->rate_fast += arrived / FAST_S;
+	l->rate_slow += arrived / SLOW_S;
+	l->rate_window += arrived / STEADY_S;
 	l->used[l->slot % TR_LIMIT_SLOTS] += (float)admitted;
 }
 
@@ -314,7 +314,7 @@
 {
 	advance_window(l, bound, now);
 	decay_rates(l, now);
-	count(l, (uint16_t)(reported->came - before->came),
+	count(l, (uint16_t)(reported->arrived - before->arrived),
 	      (uint16_t)(reported->admitted - before->admitted));
 }
 
@@ -351,8 +351,8 @@
 /*
  * Counts an arriving request. Requests that wait until this VM can decide on
  * them are counted on arrival, so that all VMs know the load to expect. When
- * they were counted at the decision instead, 104 VMs that came back together in
- * a flood admitted all requests that had waited, 1.08 times what operators
+ * they were counted at the decision instead, 104 VMs that arrived back together
+ * in a flood admitted all requests that had waited, 1.08 times what operators
  * allow (the load test).
  */
 void tr_limit_arrived(struct tr_limit *l, const struct tr_limit_bound *bound,
@@ -361,7 +361,7 @@
 	advance_window(l, bound, now);
 	decay_rates(l, now);
 	count(l, 1, 0);
-	l->own.came++;
+	l->own.arrived++;
 	l->changed = true;
 }
 
--- a/lib/limit.h
+++ b/lib/limit.h
@@ -39,7 +39,7 @@
  * those of them that were admitted. They wrap around.
  */
 struct tr_limit_totals {
-	uint16_t came;
+	uint16_t arrived;
 	uint16_t admitted;
 };
 
