--- a/lib/limit.c
+++ b/lib/limit.c
@@ -351,7 +351,7 @@
 /*
  * Counts an arriving request. Requests that wait until this VM can decide on
  * them are counted on arrival, so that all VMs know the load to expect. When
- * they were counted at the decision instead, 104 VMs that arrived back together
+ * they were counted at the decision instead, 104 VMs that restarted together
  * in a flood admitted all requests that had waited, 1.08 times what operators
  * allow (the load test).
  */
--- a/lib/place.c
+++ b/lib/place.c
@@ -222,7 +222,7 @@
 	uint32_t limited_choice = TR_NO_ROW;
 	double sum = 0;
 
-	if (!roster->limits.holding)
+	if (!roster->limits.active_count)
 		return TR_NO_ROW;
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
@@ -282,7 +282,7 @@
 enum tr_place_result tr_place(const struct tr_roster *roster,
 			      const struct tr_place_request *req,
 			      struct tr_random *random, apr_time_t now,
-			      struct tr_placement *placing)
+			      struct tr_placement *placement)
 {
 	unsigned known = 0;
 	unsigned untried = 0;
@@ -300,8 +300,8 @@
 							       TR_MECH_SCOUTS));
 	tr_floor_check_set_rotation(&check, &req->turns);
 	tr_floor_check_set_load(&check, &load);
-	placing->row = TR_NO_ROW;
-	placing->cost = INFINITY;
+	placement->row = TR_NO_ROW;
+	placement->cost = INFINITY;
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
 		struct tr_placement p = { .row = i };
@@ -339,18 +339,18 @@
 		fitting++;
 		if (tr_mechanism_enabled(TR_MECH_BLUR))
 			p.cost -= COST_NOISE * gumbel(random);
-		if (p.cost < placing->cost)
-			*placing = p;
+		if (p.cost < placement->cost)
+			*placement = p;
 	}
-	placing->for_floor = false;
+	placement->for_floor = false;
 	picked = pick_for_floor(req, &check, &load, random);
 	if (picked != TR_NO_ROW) {
-		placing->row = picked;
-		placing->for_floor = true;
-		placing->cost = target_cost(&roster->rows[picked], req, loss,
-					    now, placing);
+		placement->row = picked;
+		placement->for_floor = true;
+		placement->cost = target_cost(&roster->rows[picked], req, loss,
+					      now, placement);
 	}
-	placing->shortest_time = shortest_time;
+	placement->shortest_time = shortest_time;
 	if (fitting)
 		return TR_PLACE_FOUND;
 	if (!known)
--- a/lib/place.h
+++ b/lib/place.h
@@ -65,7 +65,7 @@
 enum tr_place_result tr_place(const struct tr_roster *roster,
 			      const struct tr_place_request *req,
 			      struct tr_random *random, apr_time_t now,
-			      struct tr_placement *placing);
+			      struct tr_placement *placement);
 apr_time_t tr_place_retry_after(const struct tr_roster *roster,
 				const struct tr_place_request *req,
 				struct tr_random *random, apr_time_t now);
--- a/lib/send_limit.c
+++ b/lib/send_limit.c
@@ -1,12 +1,14 @@
 /*
- * Limits that targets name: so many requests a second from all VMs together.
- * Each VM keeps a token bucket a target, and VMs tell each other what they sent
- * as running totals, so that the buckets agree but for what is on its way.
+ * Rate limits that targets set: a number of requests a second from all VMs
+ * together. Each VM keeps a token bucket per target, and VMs report to each
+ * other, as running totals, how many requests they sent, so that the buckets
+ * agree apart from reports still in flight.
  *
- * A share of the limit for each VM would serve nobody where the limit is below
- * one request a second for each. With totals alone all VMs see the same token
- * at once and each spends it; so a VM takes one only by a chance, by which all
- * VMs together spend what is there in several times what news takes.
+ * A fixed share of the limit for each VM would serve nobody if the limit is
+ * below one request a second per VM. With totals alone all VMs see the same
+ * token at once and each spends it; so a VM takes a token only with a
+ * probability by which all VMs together spend the available tokens in several
+ * times the delay of a report.
  */
 #include "send_limit.h"
 
@@ -16,36 +18,46 @@
 
 #include "clock.h"
 
-/* What may be saved up, in s of the limit, beside one request. */
-#define SAVED_S 0.5
-/* Time in which what is there is spent, in s. */
+/* Size of the bucket, in s of the limit, beside one request. */
+#define BURST_S 0.5
+/* Time in which the available tokens are spent, in s. */
 #define SMOOTHING_S 0.35
-/* What was sent beyond the limit is made up for, but for no longer than this,
- * in s: what a VM hears of another for the first time may be long ago. */
-#define DEBT_MOST_S 4
-/* Least rate for a target whose limit is 0, in requests a second: only its
- * answers tell that the limit has ended. */
-#define RATE_LEAST 0.1
-/* An answer without a limit counts from so long after the last that named one
- * on: answers overtake each other. */
-#define ENDS_AFTER TR_SEC(1)
-/* A limit that has moved by less than this part is no news. */
-#define SAME_PART 0.25
-/* How long what another group's target said holds here without being told
- * again: that group tells it some times a second. */
-#define AWAY_HOLDS TR_SEC(10)
-/* What a message between two VMs takes at most, with the turn of a busy loop.
+/*
+ * Requests sent beyond the limit are made up for, up to this many s of the
+ * limit: the first total that a VM receives from another may cover a long time.
+ */
+#define MAX_DEBT_S 4
+/*
+ * Lowest rate, in requests a second, for a target whose limit is 0: only its
+ * responses tell that the limit has been lifted.
+ */
+#define MIN_RATE 0.1
+/*
+ * A response without a limit clears it only this long after the last one that
+ * set it, since responses may overtake each other.
+ */
+#define CLEAR_DELAY TR_SEC(1)
+/* Relative change of a limit below which it is not logged or reported. */
+#define MIN_CHANGE 0.25
+/*
+ * How long the limit of another group's target is kept without another report:
+ * that group reports it several times a second.
+ */
+#define REMOTE_TTL TR_SEC(10)
+/*
+ * Longest delivery time of a message between two VMs, with the delay of a busy
+ * event loop.
  */
-#define WAY_MOST TR_MSEC(100)
+#define MAX_DELIVERY_TIME TR_MSEC(100)
 
-/* A row for the target, by its place. */
+/* Adds a row for the target and returns its index. */
 uint32_t tr_send_limits_add(struct tr_send_limits *limits, uint32_t target)
 {
-	uint32_t place = 0;
+	uint32_t index = 0;
 
-	while (place < limits->count && limits->rows[place].used)
-		place++;
-	if (place == limits->room) {
+	while (index < limits->count && limits->rows[index].used)
+		index++;
+	if (index == limits->room) {
 		unsigned room = limits->room ? limits->room * 2 : 8;
 		void *grown =
 			realloc(limits->rows, room * sizeof(*limits->rows));
@@ -55,20 +67,20 @@
 		limits->rows = grown;
 		limits->room = room;
 	}
-	if (place == limits->count)
+	if (index == limits->count)
 		limits->count++;
-	limits->rows[place] = (struct tr_send_limit){
+	limits->rows[index] = (struct tr_send_limit){
 		.used = true,
 		.target = target,
 	};
-	return place;
+	return index;
 }
 
-/* The target is gone. */
-void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t place)
+/* Removes the row of a target that is gone. */
+void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t index)
 {
-	limits->holding -= limits->rows[place].holds;
-	memset(&limits->rows[place], 0, sizeof(*limits->rows));
+	limits->active_count -= limits->rows[index].holds;
+	memset(&limits->rows[index], 0, sizeof(*limits->rows));
 }
 
 void tr_send_limits_release(struct tr_send_limits *limits)
@@ -77,130 +89,138 @@
 	memset(limits, 0, sizeof(*limits));
 }
 
-/* Requests a second that go to the target; share is the part of the fleet that
- * is heard, since others that can't be heard have their part. */
-double tr_send_limit_rate(const struct tr_send_limit *l, double share)
+/*
+ * Requests a second that may be sent to the target. heard_share is the share of
+ * the fleet that this VM receives reports from; the rest is left to the VMs
+ * that it does not.
+ */
+double tr_send_limit_rate(const struct tr_send_limit *l, double heard_share)
 {
-	return fmax(l->rate, RATE_LEAST) * share;
+	return fmax(l->rate, MIN_RATE) * heard_share;
 }
 
-/* How many requests may be sent now; below 0, too many were. */
-double tr_send_limit_tokens(const struct tr_send_limit *l, double share,
+/* Requests that may be sent now; negative if too many were sent. */
+double tr_send_limit_tokens(const struct tr_send_limit *l, double heard_share,
 			    apr_time_t now)
 {
-	double rate = tr_send_limit_rate(l, share);
-	double s = (double)(now - l->at) / 1e6;
+	double rate = tr_send_limit_rate(l, heard_share);
+	double s = (double)(now - l->refilled_at) / 1e6;
 
-	return fmin(1 + rate * SAVED_S, l->tokens + fmax(s, 0) * rate);
+	return fmin(1 + rate * BURST_S, l->tokens + fmax(s, 0) * rate);
 }
 
-static void spend(struct tr_send_limit *l, unsigned n, double share,
-		  apr_time_t now)
+static void take_tokens(struct tr_send_limit *l, unsigned n, double heard_share,
+			apr_time_t now)
 {
-	double debt_most = tr_send_limit_rate(l, share) * DEBT_MOST_S + 1;
+	double max_debt = tr_send_limit_rate(l, heard_share) * MAX_DEBT_S + 1;
 
-	l->tokens = fmax(tr_send_limit_tokens(l, share, now) - n, -debt_most);
-	l->at = now;
+	l->tokens =
+		fmax(tr_send_limit_tokens(l, heard_share, now) - n, -max_debt);
+	l->refilled_at = now;
 }
 
 /*
- * When the target named what another VM reports of it, with the report's age.
- * The longest usual delivery time is added: without it each report would look
- * younger than the last, and VMs would refresh each other's for ever.
+ * Converts the age of another VM's report into the time at which the target set
+ * the limit. The longest usual delivery time is added: without it each report
+ * would look younger than the last, and VMs would refresh each other's for
+ * ever.
  */
 apr_time_t tr_send_limit_report_time(apr_time_t reported_age, apr_time_t now)
 {
-	return now - reported_age - WAY_MOST;
+	return now - reported_age - MAX_DELIVERY_TIME;
 }
 
-/* An answer to this VM or another named a limit, at a time by this VM's clock.
+/*
+ * A response to this VM or to another one set the limit, at named_at by this
+ * VM's clock.
  */
 enum tr_send_limit_change tr_send_limit_set(struct tr_send_limits *limits,
-					    uint32_t place, double rate,
+					    uint32_t index, double rate,
 					    apr_time_t named_at, apr_time_t now)
 {
-	struct tr_send_limit *l = &limits->rows[place];
-	bool held = l->holds;
+	struct tr_send_limit *l = &limits->rows[index];
+	bool was_active = l->holds;
 
 	if (named_at <= l->named_at)
 		return TR_SEND_LIMIT_SAME;
 	l->named_at = named_at;
 	l->rate = rate;
-	if (held &&
-	    fabs(rate - l->rate_reported) <= SAME_PART * l->rate_reported)
+	if (was_active &&
+	    fabs(rate - l->rate_reported) <= MIN_CHANGE * l->rate_reported)
 		return TR_SEND_LIMIT_SAME;
 	l->rate_reported = rate;
-	if (held)
+	if (was_active)
 		return TR_SEND_LIMIT_CHANGED;
-	limits->holding++;
+	limits->active_count++;
 	l->holds = true;
 	l->tokens = 0;
-	l->at = now;
+	l->refilled_at = now;
 	return TR_SEND_LIMIT_BEGAN;
 }
 
-/* Another VM has told that the limit had ended at a time. */
+/* The limit ended at named_at, as a response or another VM reports. */
 enum tr_send_limit_change tr_send_limit_clear(struct tr_send_limits *limits,
-					      uint32_t place,
+					      uint32_t index,
 					      apr_time_t named_at)
 {
-	struct tr_send_limit *l = &limits->rows[place];
+	struct tr_send_limit *l = &limits->rows[index];
 
 	if (!l->holds || named_at <= l->named_at)
 		return TR_SEND_LIMIT_SAME;
-	limits->holding--;
+	limits->active_count--;
 	l->holds = false;
 	l->named_at = named_at;
 	return TR_SEND_LIMIT_ENDED;
 }
 
-/* No longer hold to it, which is no word of the target's. */
-void tr_send_limits_deactivate(struct tr_send_limits *limits, uint32_t place)
+/* Stops applying the limit, though the target has not lifted it. */
+void tr_send_limits_deactivate(struct tr_send_limits *limits, uint32_t index)
 {
-	struct tr_send_limit *l = &limits->rows[place];
+	struct tr_send_limit *l = &limits->rows[index];
 
-	limits->holding -= l->holds;
+	limits->active_count -= l->holds;
 	l->holds = false;
 }
 
-/* Has nobody told of the limit of another group's target for long? */
+/* Whether no VM has reported this limit of another group's target for long. */
 bool tr_send_limit_is_stale(const struct tr_send_limit *l, apr_time_t now)
 {
-	return l->holds && now - l->named_at > AWAY_HOLDS;
+	return l->holds && now - l->named_at > REMOTE_TTL;
 }
 
-/* An answer to this VM named none. */
+/* A response to this VM carried no limit. */
 enum tr_send_limit_change tr_send_limit_absent(struct tr_send_limits *limits,
-					       uint32_t place,
+					       uint32_t index,
 					       apr_time_t named_at)
 {
-	if (named_at < limits->rows[place].named_at + ENDS_AFTER)
+	if (named_at < limits->rows[index].named_at + CLEAR_DELAY)
 		return TR_SEND_LIMIT_SAME;
-	return tr_send_limit_clear(limits, place, named_at);
+	return tr_send_limit_clear(limits, index, named_at);
 }
 
-/* This VM sends a request to the target. */
-void tr_send_limit_sent(struct tr_send_limit *l, double share, apr_time_t now)
+/* Counts a request that this VM sends to the target. */
+void tr_send_limit_sent(struct tr_send_limit *l, double heard_share,
+			apr_time_t now)
 {
 	l->sent++;
 	l->changed = true;
-	spend(l, 1, share, now);
+	take_tokens(l, 1, heard_share, now);
 }
 
-/* Other VMs have sent so many. */
+/* Counts requests that other VMs have reported as sent. */
 void tr_send_limit_reported(struct tr_send_limit *l, uint16_t sent,
-			    double share, apr_time_t now)
+			    double heard_share, apr_time_t now)
 {
 	if (sent)
-		spend(l, sent, share, now);
+		take_tokens(l, sent, heard_share, now);
 }
 
 /*
- * May a request go to a target with a limit at all? tokens are those of all
- * such targets of its service, wanted the requests a second that all VMs get
- * for it, drawn a number drawn evenly from 0 to 1.
+ * Whether a request may go to a target with a limit at all. tokens is the sum
+ * over all such targets of the service, request_rate the requests a second for
+ * the service at all VMs, point a uniform random number from 0 to 1.
  */
-bool tr_send_limits_admit(double tokens, double wanted, double drawn)
+bool tr_send_limits_admit(double tokens, double request_rate, double point)
 {
-	return drawn * wanted * SMOOTHING_S <= tokens;
+	return point * request_rate * SMOOTHING_S <= tokens;
 }
--- a/tests/send_limit_test.cc
+++ b/tests/send_limit_test.cc
@@ -38,7 +38,7 @@
 TEST_F(SendLimit, BeginsEmptyAndFillsByTheRate)
 {
 	EXPECT_EQ(named(2, now), TR_SEND_LIMIT_BEGAN);
-	EXPECT_EQ(limits.holding, 1u);
+	EXPECT_EQ(limits.active_count, 1u);
 	EXPECT_DOUBLE_EQ(tokens_in(0), 0);
 	EXPECT_DOUBLE_EQ(tokens_in(TR_MSEC(500)), 1);
 	EXPECT_DOUBLE_EQ(tokens_in(TR_SEC(60)), 2);
@@ -90,7 +90,7 @@
 	EXPECT_EQ(tr_send_limit_clear(&limits, place, now), TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(tr_send_limit_clear(&limits, place, now + TR_SEC(3)),
 		  TR_SEND_LIMIT_ENDED);
-	EXPECT_EQ(limits.holding, 0u);
+	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(named(2, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(named(2, now + TR_SEC(4)), TR_SEND_LIMIT_BEGAN);
 }
@@ -111,7 +111,7 @@
 	EXPECT_FALSE(tr_send_limit_is_stale(row(), now + TR_SEC(9)));
 	EXPECT_TRUE(tr_send_limit_is_stale(row(), now + TR_SEC(11)));
 	tr_send_limits_deactivate(&limits, place);
-	EXPECT_EQ(limits.holding, 0u);
+	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(named(1, now + TR_MSEC(1)), TR_SEND_LIMIT_BEGAN);
 }
 
@@ -141,7 +141,7 @@
 
 	named(1, now);
 	tr_send_limits_remove(&limits, place);
-	EXPECT_EQ(limits.holding, 0u);
+	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(tr_send_limits_add(&limits, 9), place);
 	EXPECT_EQ(limits.rows[other].target, 8u);
 }
