--- a/lib/fatal.h
+++ b/lib/fatal.h
@@ -10,39 +10,41 @@
 #define TR_FATAL_ROWS_MAX 256
 #define TR_FATAL_ENDS_MAX 6
 
-/* A target that ended while it ran the request; known is how many such ends the
- * VM that sent it knew of at that time. */
+/* A target that ended while it ran the request. */
 struct tr_fatal_end {
 	uint32_t target;
+	/* Ends that the sending VM knew of when it sent the request. */
 	unsigned known;
 	apr_time_t ended;
 };
 
-/*
- * What the fleet knows of one request under which targets ended. answered_at is
- * when it was last answered, by any VM: what ended before that is void.
- * refused_since is 0 while it is served; tries and tried_at count how often it
- * was let through since, by all VMs; try_at is when this VM may let it through.
- * trial_at is when it was sent last while it was a suspect.
- */
+/* What the fleet knows of one request under which targets ended. */
 struct tr_fatal {
 	uint64_t identity;
 	struct tr_fatal_end ends[TR_FATAL_ENDS_MAX];
 	unsigned ends_count;
+	/* When any VM last got an answer to it; earlier ends are void. */
 	apr_time_t answered_at;
+	/* 0 while the request is served. */
 	apr_time_t refused_since;
+	/* How often and when the fleet last let it through since then. */
 	unsigned tries;
 	apr_time_t tried_at;
-	apr_time_t try_at;
+	/* When this VM may let it through. */
+	apr_time_t next_try_at;
+	/* When it was last sent as a canary. */
 	apr_time_t trial_at;
-	apr_time_t asked_at;
+	/* When a caller last sent it to this VM, while it is refused. */
+	apr_time_t last_requested_at;
+	/* Whether the row is to be reported to the other VMs. */
 	bool changed;
 };
 
 struct tr_fatals {
 	struct tr_fatal *rows;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
+	/* Row at which the next message continues. */
 	unsigned next_reported;
 };
 
@@ -53,7 +55,7 @@
 	TR_FATAL_REFUSE,
 };
 
-/* What a piece of news has changed. */
+/* Whether a report or an outcome changed how the request is handled. */
 enum tr_fatal_change {
 	TR_FATAL_SAME,
 	TR_FATAL_REFUSED,
@@ -80,10 +82,10 @@
 				       struct tr_random *random,
 				       apr_time_t now);
 unsigned tr_fatal_collect_changed(struct tr_fatals *fatals,
-				  struct tr_fatal *reported, unsigned most,
+				  struct tr_fatal *reported, unsigned max_rows,
 				  apr_time_t now);
 unsigned tr_fatal_collect_recent(struct tr_fatals *fatals,
-				 struct tr_fatal *reported, unsigned most,
+				 struct tr_fatal *reported, unsigned max_rows,
 				 apr_time_t now);
 
 #endif
