--- a/lib/clock.h
+++ b/lib/clock.h
@@ -4,9 +4,9 @@
 #include <apr_time.h>
 
 /*
- * The clock as an interface. Times are apr_time_t, in microseconds, from a
- * monotonic clock that goes on while the process is paused. The library
- * reads no clock of its own.
+ * Clock interface. Times are apr_time_t, in microseconds, from a monotonic
+ * clock that keeps running while the process is suspended. The library never
+ * reads a clock itself.
  */
 struct tr_clock {
 	apr_time_t (*now)(void *ctx);
--- a/lib/identity.h
+++ b/lib/identity.h
@@ -4,8 +4,10 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* What makes two requests the same, whatever ids they bear. organisation is
- * NULL where the caller has none. */
+/*
+ * The parts of a request that identify it, apart from its request id.
+ * organisation is NULL if the caller has none.
+ */
 struct tr_request_parts {
 	const char *method;
 	const char *host;
@@ -15,6 +17,6 @@
 	size_t body_len;
 };
 
-uint64_t tr_identity(uint64_t fleet, const struct tr_request_parts *parts);
+uint64_t tr_identity(uint64_t fleet_id, const struct tr_request_parts *parts);
 
 #endif
--- a/lib/index.h
+++ b/lib/index.h
@@ -10,12 +10,13 @@
 	uint32_t row;
 };
 
-/* Finds rows of a table by a 32-bit key; several rows may have the same. */
+/* Finds rows of a table by a 32-bit key. Several rows may share a key. */
 struct tr_index {
 	struct tr_index_slot *slots;
-	uint32_t room;
-	uint32_t taken;
-	uint32_t live;
+	uint32_t capacity;
+	/* Slots that hold an entry or a tombstone. */
+	uint32_t occupied;
+	uint32_t entries;
 };
 
 void tr_index_add(struct tr_index *x, uint32_t key, uint32_t row);
--- a/lib/mechanism.c
+++ b/lib/mechanism.c
@@ -1,6 +1,6 @@
 /*
- * Which mechanisms are switched off. For experiments: a fleet that serves
- * callers runs with all of them on, which is how a process begins.
+ * Set of mechanisms that are disabled for experiments. A process starts with
+ * all of them enabled, which is how a fleet runs in production.
  */
 #include "mechanism.h"
 
@@ -24,20 +24,20 @@
 	[TR_MECH_KEPT_CONNECTIONS] = "kept-connections",
 };
 
-static bool off[TR_MECHANISMS];
+static bool disabled[TR_MECHANISMS];
 
 bool tr_mechanism_enabled(enum tr_mechanism mechanism)
 {
-	return !off[mechanism];
+	return !disabled[mechanism];
 }
 
-/* Switch one off by its name. 0, or -1 when there is none of that name. */
+/* Disables a mechanism. Returns 0, or -1 if the name is unknown. */
 int tr_mechanism_disable(const char *name)
 {
 	for (int i = 0; i < TR_MECHANISMS; i++) {
 		if (strcmp(names[i], name) != 0)
 			continue;
-		off[i] = true;
+		disabled[i] = true;
 		return 0;
 	}
 	return -1;
@@ -45,7 +45,7 @@
 
 void tr_mechanisms_enable_all(void)
 {
-	memset(off, 0, sizeof(off));
+	memset(disabled, 0, sizeof(disabled));
 }
 
 const char *tr_mechanism_name(enum tr_mechanism mechanism)
--- a/lib/mechanism.h
+++ b/lib/mechanism.h
@@ -3,23 +3,40 @@
 
 #include <stdbool.h>
 
-/* What the fleet's decisions rest on; each can be switched off, to measure what
- * it is worth. */
+/*
+ * Mechanisms that the fleet's decisions rely on. Each can be disabled to
+ * measure its effect.
+ */
 enum tr_mechanism {
+	/* Requests in flight count as late from their age, before they end. */
 	TR_MECH_RUNNING_AGE,
+	/* The spread of work times is measured for each service. */
 	TR_MECH_SERVICE_SPREAD,
+	/* The share of gray targets is measured for each service. */
 	TR_MECH_LEARNED_SHARE,
+	/* Random noise is added to the costs of targets. */
 	TR_MECH_BLUR,
+	/* Idle targets get requests until enough targets are in use. */
 	TR_MECH_FLOOR,
+	/* Requests that may be retried probe suspects. */
 	TR_MECH_SCOUTS,
+	/* Targets in the own data centre are preferred. */
 	TR_MECH_CENTRE_PREFERENCE,
+	/* Requests that no target could answer in time are refused at once. */
 	TR_MECH_EARLY_REFUSAL,
+	/* A second attempt starts while the first runs at a suspect. */
 	TR_MECH_SECONDING,
+	/* Requests that a target refused are sent to another one. */
 	TR_MECH_REPEAT_REFUSED,
+	/* The first failure of a target is reported at once. */
 	TR_MECH_FIRST_FAILURE_NEWS,
+	/* One VM of each other data centre relays messages there. */
 	TR_MECH_CENTRE_RELAY,
+	/* Two VMs read the platform instead of one. */
 	TR_MECH_TWO_READERS,
+	/* VMs of a large fleet form groups. */
 	TR_MECH_GROUPS,
+	/* Safe requests reuse connections to targets. */
 	TR_MECH_KEPT_CONNECTIONS,
 	TR_MECHANISMS,
 };
--- a/lib/notice.h
+++ b/lib/notice.h
@@ -4,23 +4,22 @@
 #include <apr_time.h>
 #include <stdbool.h>
 
-/* How a value that may stand in an answer was found. */
+/* How an optional value in a response was found. */
 enum tr_notice_value {
 	TR_NOTICE_ABSENT,
 	TR_NOTICE_GIVEN,
 	TR_NOTICE_INVALID,
 };
 
-/*
- * What a target says of itself in one answer: whether it is about to end, how
- * many requests a second it takes from all VMs together, and for how long it
- * wants nothing from this VM. limit and rest hold where they were given.
- */
+/* What a target says about itself in one response. */
 struct tr_notice {
+	/* Whether it is about to shut down. */
 	bool leaving;
 	enum tr_notice_value limit_state;
+	/* Requests a second that it accepts from all VMs together. */
 	double limit;
 	enum tr_notice_value rest_state;
+	/* How long this VM should send it no requests. */
 	apr_time_t rest;
 };
 
--- a/lib/organisation.c
+++ b/lib/organisation.c
@@ -1,7 +1,7 @@
 /*
- * Which organisation a caller's key belongs to. Keys are secrets: what is kept
- * of one is a digest under a secret of this process and this configuration, so
- * that neither a memory dump nor the time that a look-up takes tells how a key
+ * Lookup of the organisation that an API key belongs to. Keys are secret: only
+ * a digest is stored, keyed with a secret of this process and configuration, so
+ * that neither a memory dump nor the timing of a lookup reveals how a key
  * begins.
  */
 #include "organisation.h"
@@ -12,9 +12,9 @@
 
 #include "error.h"
 
-#define KEYS_FIRST 16
+#define INITIAL_KEYS 16
 
-/* Room for so many organisations; NULL without memory. */
+/* Allocates a set for count organisations. Returns NULL if out of memory. */
 struct tr_organisations *tr_organisations_new(unsigned count)
 {
 	struct tr_organisations *o = calloc(1, sizeof(*o));
@@ -31,32 +31,36 @@
 	return o;
 }
 
-static void digest_of(const struct tr_organisations *o, const char *key,
-		      unsigned char digest[TR_KEY_DIGEST_SIZE])
+static void compute_digest(const struct tr_organisations *o, const char *key,
+			   unsigned char digest[TR_KEY_DIGEST_SIZE])
 {
 	crypto_generichash(digest, TR_KEY_DIGEST_SIZE,
 			   (const unsigned char *)key, strlen(key), o->secret,
 			   sizeof(o->secret));
 }
 
-/* The organisation, by its row, holds the key. 0, or -1 without memory. */
+/*
+ * Adds a key of the organisation in this row. Returns 0, or -1 if out of
+ * memory.
+ */
 int tr_organisations_add_key(struct tr_organisations *o, const char *key,
 			     uint32_t organisation)
 {
 	struct tr_api_key *row;
 
-	if (o->keys_count == o->keys_room) {
-		unsigned room = o->keys_room ? o->keys_room * 2 : KEYS_FIRST;
+	if (o->keys_count == o->keys_capacity) {
+		unsigned capacity =
+			o->keys_capacity ? o->keys_capacity * 2 : INITIAL_KEYS;
 		struct tr_api_key *grown =
-			realloc(o->keys, room * sizeof(*grown));
+			realloc(o->keys, capacity * sizeof(*grown));
 
 		if (!grown)
 			return -1;
 		o->keys = grown;
-		o->keys_room = room;
+		o->keys_capacity = capacity;
 	}
 	row = &o->keys[o->keys_count++];
-	digest_of(o, key, row->digest);
+	compute_digest(o, key, row->digest);
 	row->organisation = organisation;
 	return 0;
 }
@@ -86,8 +90,10 @@
 	return 0;
 }
 
-/* Check what was filled in and put the keys in the order of look-ups. 0, or -1
- * and err, which names the organisation and never a key. */
+/*
+ * Validates the set once it is filled in and sorts the keys for lookups.
+ * Returns 0, or -1 with err set, which names the organisation and never a key.
+ */
 int tr_organisations_finalize(struct tr_organisations *o, struct tr_error *err)
 {
 	for (unsigned i = 0; i < o->count; i++)
@@ -105,7 +111,7 @@
 	return 0;
 }
 
-/* The organisation that holds the key, or NULL. */
+/* Returns the organisation that the key belongs to, or NULL. */
 struct tr_organisation *tr_organisations_find(const struct tr_organisations *o,
 					      const char *key)
 {
@@ -114,7 +120,7 @@
 
 	if (!key || !*key || !o->keys_count)
 		return NULL;
-	digest_of(o, key, wanted.digest);
+	compute_digest(o, key, wanted.digest);
 	found = bsearch(&wanted, o->keys, o->keys_count, sizeof(*o->keys),
 			compare);
 	return found ? &o->rows[found->organisation] : NULL;
--- a/lib/organisation.h
+++ b/lib/organisation.h
@@ -10,33 +10,36 @@
 #define TR_KEY_DIGEST_SIZE 16
 #define TR_KEY_SECRET_SIZE 32
 
-/*
- * Whoever sends requests under keys of its own. rate is in requests a second
- * over the whole fleet, burst in requests on top of it; a rate of 0 sets no
- * limit. row_index is its row among the limits of the VM.
- */
+/* An organisation, which sends requests under API keys of its own. */
 struct tr_organisation {
 	char *name;
+	/*
+	 * Requests a second over the whole fleet, 0 for no limit, and the burst
+	 * allowed on top, in requests.
+	 */
 	double rate;
 	double burst;
+	/* Whether the organisation sets a priority for its requests. */
 	bool has_priority;
 	uint32_t priority;
+	/* Row among the limits of this VM. */
 	uint32_t row_index;
 };
 
-/* A caller's key as it is kept: its digest, and who holds it. */
+/* An API key as it is stored: its digest, and the row of its organisation. */
 struct tr_api_key {
 	unsigned char digest[TR_KEY_DIGEST_SIZE];
 	uint32_t organisation;
 };
 
-/* All organisations of a configuration, and their keys in order. */
+/* All organisations of a configuration, and their keys, sorted by digest. */
 struct tr_organisations {
 	struct tr_organisation *rows;
 	unsigned count;
 	struct tr_api_key *keys;
 	unsigned keys_count;
-	unsigned keys_room;
+	unsigned keys_capacity;
+	/* Random key of the digests. */
 	unsigned char secret[TR_KEY_SECRET_SIZE];
 };
 
--- a/lib/proof.h
+++ b/lib/proof.h
@@ -9,15 +9,19 @@
 #include "membership.h"
 
 /*
- * How young the configuration in force is proven to be: each one that was
- * accepted before at is in force here, or older than what is; 0 is no proof.
- * question, asked_at and asked are of the one question that is open.
+ * Proof of how recent the configuration in force is. Every configuration that
+ * was accepted before at is in force here, or older than the one that is.
  */
 struct tr_proof {
+	/* 0 if there is no proof. */
 	apr_time_t at;
+	/*
+	 * The open query: its random number, or 0, when it was sent and to
+	 * whom.
+	 */
 	uint64_t question;
-	apr_time_t asked_at;
-	uint32_t asked;
+	apr_time_t query_sent_at;
+	uint32_t queried_ip;
 };
 
 void tr_proof_renew(struct tr_proof *p, apr_time_t at);
--- a/lib/route.c
+++ b/lib/route.c
@@ -1,3 +1,7 @@
+/*
+ * Routes: which service a request goes to, by its host and path, and how it may
+ * be repeated.
+ */
 #include "route.h"
 
 #include <sodium.h>
@@ -8,14 +12,17 @@
 #include "error.h"
 #include "organisation.h"
 
-/* Room for so many routes and services, in use once; NULL without memory. */
+/*
+ * Allocates a version with room for this many routes and services and one
+ * reference. Returns NULL if out of memory.
+ */
 struct tr_routes *tr_routes_new(unsigned routes, unsigned services)
 {
 	struct tr_routes *r = calloc(1, sizeof(*r));
 
 	if (!r)
 		return NULL;
-	r->users = 1;
+	r->refs = 1;
 	r->routes = calloc(routes + 1, sizeof(*r->routes));
 	r->services = calloc(services + 1, sizeof(*r->services));
 	r->routes_count = routes;
@@ -26,16 +33,17 @@
 	return NULL;
 }
 
+/* Takes a reference. */
 struct tr_routes *tr_routes_ref(struct tr_routes *routes)
 {
-	routes->users++;
+	routes->refs++;
 	return routes;
 }
 
-/* Give up one use; the last one frees it. */
+/* Drops a reference; the last one frees the version. */
 void tr_routes_unref(struct tr_routes *r)
 {
-	if (!r || --r->users)
+	if (!r || --r->refs)
 		return;
 	for (unsigned i = 0; r->routes && i < r->routes_count; i++) {
 		free(r->routes[i].name);
@@ -50,14 +58,14 @@
 	free(r->routes);
 	free(r->services);
 	tr_organisations_free(r->organisations);
-	/* It holds callers' keys. */
+	/* The text contains callers' keys. */
 	if (r->text)
 		sodium_memzero(r->text, r->text_len);
 	free(r->text);
 	free(r);
 }
 
-/* The service's place in the snapshot, or -1. */
+/* Returns the index of the service, or -1. */
 int tr_routes_find_service(const struct tr_routes *routes, const char *name)
 {
 	for (unsigned i = 0; i < routes->services_count; i++)
@@ -103,7 +111,10 @@
 	return 0;
 }
 
-/* Check a filled snapshot and put it in the order that matching needs. */
+/*
+ * Validates a version once it is filled in and sorts the routes for matching.
+ * Returns 0, or -1 with err set.
+ */
 int tr_routes_finalize(struct tr_routes *r, struct tr_error *err)
 {
 	for (unsigned i = 0; i < r->routes_count; i++)
@@ -119,7 +130,7 @@
 	return 0;
 }
 
-struct place {
+struct lookup_key {
 	const char *host;
 	size_t host_len;
 	const char *path;
@@ -136,7 +147,7 @@
 
 static int find(const void *key, const void *member)
 {
-	const struct place *p = key;
+	const struct lookup_key *p = key;
 	const struct tr_path_route *route = member;
 	int c = compare_text(p->host, p->host_len, route->host, strncasecmp);
 
@@ -145,8 +156,9 @@
 }
 
 /*
- * The route of the host with the longest prefix of the path, or NULL. Prefixes
- * end with a slash, so only the path's slashes are tried, the last one first.
+ * Returns the route of the host with the longest matching path prefix, or NULL.
+ * Prefixes end with a slash, so only the path's slashes are tried, from the
+ * last one.
  */
 const struct tr_path_route *tr_routes_match(const struct tr_routes *r,
 					    const char *host, size_t host_len,
@@ -155,7 +167,7 @@
 	size_t len = strcspn(path, "?#");
 
 	for (; len; len--) {
-		struct place p = { host, host_len, path, len };
+		struct lookup_key p = { host, host_len, path, len };
 		const struct tr_path_route *route;
 
 		if (path[len - 1] != '/')
@@ -168,17 +180,20 @@
 	return NULL;
 }
 
-/* The part of the split that a point from 0 up to 1 falls on. */
+/*
+ * Returns the index of the entry in the route's split that a point from 0 up to
+ * 1 falls into, by weight.
+ */
 unsigned tr_split_choose(const struct tr_path_route *route, double point)
 {
 	double sum = 0;
-	double upto = 0;
+	double cumulative = 0;
 
 	for (unsigned i = 0; i < route->split_count; i++)
 		sum += route->split[i].weight;
 	for (unsigned i = 0; i < route->split_count; i++) {
-		upto += route->split[i].weight;
-		if (point * sum < upto)
+		cumulative += route->split[i].weight;
+		if (point * sum < cumulative)
 			return i;
 	}
 	return route->split_count - 1;
--- a/lib/route.h
+++ b/lib/route.h
@@ -9,7 +9,10 @@
 struct tr_error;
 struct tr_organisations;
 
-/* What may be repeated. Uploads are large and, like unsafe ones, run once. */
+/*
+ * Decides whether a request may be repeated. Uploads are large and, like unsafe
+ * requests, run once.
+ */
 enum tr_kind {
 	TR_KIND_SAFE,
 	TR_KIND_UNSAFE,
@@ -17,28 +20,30 @@
 	TR_KINDS,
 };
 
-/* One of the services that a route's requests are split among. */
+/* A service that gets a share of a route's requests. */
 struct tr_split {
 	uint32_t service;
 	double weight;
 };
 
-/* is_public: callers need no key here. */
+/* A route: requests for a host with a path prefix. */
 struct tr_path_route {
 	char *name;
 	char *host;
+	/* Begins and ends with a slash. */
 	char *prefix;
 	enum tr_kind kind;
 	apr_time_t timeout;
 	apr_time_t latency_aim;
 	uint32_t attempts;
 	uint32_t priority;
+	/* Callers need no key. */
 	bool is_public;
 	struct tr_split *split;
 	unsigned split_count;
 };
 
-/* What callers may send, and how long they may take. Bytes and times. */
+/* What callers may send, in bytes, and how long they may take. */
 struct tr_caller_limits {
 	uint64_t header_bytes;
 	uint64_t body_bytes;
@@ -50,16 +55,17 @@
 	char *name;
 	char *health_path;
 	uint32_t connections;
+	/* Row among the services of this VM's roster. */
 	uint32_t row_index;
 };
 
 /*
- * One version of the routes of a whole entry fleet; not changed once made. A
- * request holds the one it was admitted under until it ends. Where there are no
- * organisations callers need no keys. text is the whole as it was read.
+ * One version of the routes of a fleet, immutable once finalized. A request
+ * holds a reference to the version it was admitted under until it ends.
  */
 struct tr_routes {
-	unsigned users;
+	/* Number of references. */
+	unsigned refs;
 	uint64_t version;
 	uint64_t revision;
 	struct tr_path_route *routes;
@@ -67,7 +73,9 @@
 	struct tr_path_service *services;
 	unsigned services_count;
 	struct tr_caller_limits limits;
+	/* NULL if callers need no keys. */
 	struct tr_organisations *organisations;
+	/* The configuration as it was read, with callers' keys. */
 	char *text;
 	size_t text_len;
 };
--- a/tests/proof_test.cc
+++ b/tests/proof_test.cc
@@ -75,7 +75,7 @@
 	hear(2, "dc-2", 0);
 	hear(3, "dc-1", TR_MSEC(300));
 	ASSERT_NE(ask(), nullptr);
-	EXPECT_EQ(p.asked, 3u);
+	EXPECT_EQ(p.queried_ip, 3u);
 }
 
 TEST_F(Proof, NobodyIsAskedWhoseProofIsHardlyYounger)
@@ -85,7 +85,7 @@
 	EXPECT_EQ(ask(), nullptr);
 	hear(3, "dc-1", TR_MSEC(200));
 	ASSERT_NE(ask(), nullptr);
-	EXPECT_EQ(p.asked, 3u);
+	EXPECT_EQ(p.queried_ip, 3u);
 }
 
 /* The answer may be lost: another VM is asked. */
@@ -94,12 +94,12 @@
 	hear(2, "dc-1", 0);
 	hear(3, "dc-1", 0);
 	ASSERT_NE(ask(), nullptr);
-	uint32_t first = p.asked;
+	uint32_t first = p.queried_ip;
 
 	EXPECT_EQ(ask(), nullptr);
 	now += TR_MSEC(120);
 	ASSERT_NE(ask(), nullptr);
-	EXPECT_NE(p.asked, first);
+	EXPECT_NE(p.queried_ip, first);
 }
 
 /*
@@ -146,7 +146,7 @@
 		tr_proof proof{};
 		uint64_t revision = 0;
 		apr_time_t stopped_until = 0;
-		apr_time_t asked_at = -1;
+		apr_time_t query_sent_at = -1;
 		std::deque<Message> in;
 	};
 
@@ -213,18 +213,18 @@
 	{
 		Vm &vm = vms[i];
 
-		if (vm.asked_at >= 0) {
+		if (vm.query_sent_at >= 0) {
 			if (below(4)) {
 				vm.revision = std::max(
 					vm.revision,
 					newest_at(now - TR_MSEC(below(3))));
 				tr_proof_renew(&vm.proof,
-					       std::min(vm.asked_at,
+					       std::min(vm.query_sent_at,
 							now - TR_MSEC(3)));
 			}
-			vm.asked_at = -1;
+			vm.query_sent_at = -1;
 		} else if (!below(20)) {
-			vm.asked_at = now;
+			vm.query_sent_at = now;
 		}
 	}
 
@@ -232,10 +232,11 @@
 	{
 		Vm &vm = vms[i];
 
-		if (vm.proof.question && now - vm.proof.asked_at < TR_MSEC(100))
+		if (vm.proof.question &&
+		    now - vm.proof.query_sent_at < TR_MSEC(100))
 			return;
 		vm.proof.question = gen() | 1ULL;
-		vm.proof.asked_at = now;
+		vm.proof.query_sent_at = now;
 		send(i, below((unsigned)vms.size()), vm.proof.question, 0);
 	}
 
--- a/tests/route_test.cc
+++ b/tests/route_test.cc
@@ -123,7 +123,7 @@
 	tr_routes *held = tr_routes_ref(routes);
 
 	tr_routes_unref(routes);
-	EXPECT_EQ(held->users, 1u);
+	EXPECT_EQ(held->refs, 1u);
 	EXPECT_STREQ(held->services[0].name, "s");
 }
 
