--- a/tests/allowance_load_test.cc
+++ b/tests/allowance_load_test.cc
@@ -1,8 +1,8 @@
 /*
- * The fleet's bound on repeats under load, played with a virtual clock: targets
- * turn requests away, VMs send them once more, and hear of each other's repeats
- * only some messages later, or not at all: messages are late or lost, links are
- * cut, VMs stand still or start anew.
+ * The fleet's bound on repeats under load, on a virtual clock. Targets refuse
+ * requests, VMs send these to another target and report their repeats to each
+ * other. Reports take several message delays or never arrive: messages are late
+ * or lost, links are cut, VMs are suspended or restart.
  */
 #include <algorithm>
 #include <deque>
@@ -21,14 +21,14 @@
 
 const apr_time_t STEP = TR_MSEC(5);
 const apr_time_t TELL_EVERY = TR_MSEC(40);
-const apr_time_t NEWS_TAKE = TR_MSEC(100);
+const apr_time_t REPORT_DELAY = TR_MSEC(100);
 const apr_time_t RESTART_TAKES = TR_MSEC(500);
-/* After so long without a message a VM counts as silent. */
+/* Time without a message after which a VM counts as silent. */
 const apr_time_t SILENT_AFTER = TR_MSEC(200);
-const unsigned TRIES_MOST = 8;
+const unsigned MAX_TRIES = 8;
 
-/* What a VM heard of another one last. */
-struct Heard {
+/* The last report that a VM received from another one. */
+struct LastReport {
 	unsigned life = 0;
 	bool known = false;
 	tr_work_totals totals{};
@@ -38,7 +38,7 @@
 
 struct Vm {
 	tr_allowance allowance{};
-	std::vector<Heard> others;
+	std::vector<LastReport> others;
 	unsigned life = 1;
 	unsigned side = 0;
 	apr_time_t down_until = 0;
@@ -50,7 +50,7 @@
 	unsigned from;
 	unsigned life;
 	unsigned side;
-	tr_work_totals told;
+	tr_work_totals reported_totals;
 };
 
 struct Refused {
@@ -69,13 +69,13 @@
 	std::vector<apr_time_t> requests;
 	std::vector<apr_time_t> repeats;
 	apr_time_t now = TR_SEC(100);
-	apr_time_t news_take = NEWS_TAKE;
+	apr_time_t report_delay = REPORT_DELAY;
 	double refusing = 0;
 	double lost = 0;
-	/* How many of the VMs callers use, the first ones. */
+	/* The number of VMs that callers use, from the first. */
 	unsigned used;
-	/* May any VM be silent to another? */
-	bool any_silent = false;
+	/* Whether any VM may be silent for another. */
+	bool some_silent = false;
 
 	Fleet(unsigned n, double slack, uint64_t seed)
 	    : bound{ 0.2, slack, TR_SEC(10), n, n }, random{ seed }, vms(n),
@@ -92,7 +92,7 @@
 		return now >= vm.down_until && now >= vm.stopped_until;
 	}
 
-	/* Kill the VM; its next life knows nothing. */
+	/* Kills the VM. Its next process has no state. */
 	void restart(unsigned i, apr_time_t takes = RESTART_TAKES)
 	{
 		Vm &vm = vms[i];
@@ -111,7 +111,8 @@
 	{
 		if (tr_random_unit(&random) >= refusing)
 			return;
-		/* A target answers at once, or when the request's turn comes.
+		/*
+		 * A target refuses at once, or when the request's turn comes.
 		 */
 		refused.push_back(
 			{ now + TR_MSEC(5) +
@@ -120,21 +121,21 @@
 			  vm, vms[vm].life, tries });
 	}
 
-	/* What those that are silent may have sent since the VM heard them. */
+	/* What silent VMs may have sent since their last report to this one. */
 	double unreported(const Vm &vm) const
 	{
 		double sum = 0;
 
-		if (!any_silent)
+		if (!some_silent)
 			return 0;
-		for (const Heard &h : vm.others)
+		for (const LastReport &h : vm.others)
 			if (h.known && now - h.at > SILENT_AFTER)
 				sum += tr_repeat_bucket_unreported(
 					&h.bucket, &bound, h.at, now);
 		return sum;
 	}
 
-	void repeat()
+	void send_repeats()
 	{
 		std::vector<Refused> due;
 
@@ -151,7 +152,7 @@
 		for (const Refused &r : due) {
 			Vm &vm = vms[r.vm];
 
-			if (r.tries >= TRIES_MOST || r.life != vm.life)
+			if (r.tries >= MAX_TRIES || r.life != vm.life)
 				continue;
 			vm.allowance.unreported = unreported(vm);
 			if (!tr_allowance_spend(&vm.allowance, &bound, now))
@@ -161,35 +162,36 @@
 		}
 	}
 
-	/* What a VM counted before the other one listened is no news. */
-	void hear(Vm &vm, const Message &m)
+	/* Counts from before the receiver listened are ignored. */
+	void receive(Vm &vm, const Message &m)
 	{
-		Heard &h = vm.others[m.from];
+		LastReport &h = vm.others[m.from];
 		bool restarted = h.known && m.life != h.life;
 
 		if (m.life < h.life)
 			return;
 		if (h.known && !restarted &&
-		    m.told.requests == h.totals.requests &&
-		    m.told.repeats == h.totals.repeats) {
+		    m.reported_totals.requests == h.totals.requests &&
+		    m.reported_totals.repeats == h.totals.repeats) {
 			h.at = now;
 			return;
 		}
 		if (restarted) {
 			tr_allowance_vm_restarted(&vm.allowance, &bound,
 						  &h.bucket, h.at, now);
-			h = Heard{ m.life, true, {}, {}, now };
+			h = LastReport{ m.life, true, {}, {}, now };
 		}
 		if (h.known) {
 			tr_allowance_reported(&vm.allowance, &bound, &h.totals,
-					      &m.told, h.at, now);
+					      &m.reported_totals, h.at, now);
 			tr_repeat_bucket_reported(&h.bucket, &bound, &h.totals,
-						  &m.told, now);
+						  &m.reported_totals, now);
 		}
-		h = Heard{ m.life, true, m.told, h.bucket, now };
+		h = LastReport{ m.life, true, m.reported_totals, h.bucket,
+				now };
 	}
 
-	void tell()
+	void exchange_reports()
 	{
 		while (!messages.empty() && messages.front().arrives <= now) {
 			const Message m = messages.front();
@@ -199,20 +201,23 @@
 				if (i != m.from && runs(vms[i]) &&
 				    vms[i].side == m.side &&
 				    tr_random_unit(&random) >= lost)
-					hear(vms[i], m);
+					receive(vms[i], m);
 		}
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
 
 			if ((now / STEP + i) % (TELL_EVERY / STEP) || !runs(vm))
 				continue;
-			messages.push_back({ now + news_take, i, vm.life,
+			messages.push_back({ now + report_delay, i, vm.life,
 					     vm.side, vm.allowance.own });
 		}
 	}
 
-	/* A VM that callers reach; any that runs while none of theirs does. */
-	unsigned draw()
+	/*
+	 * Draws a VM that callers reach, or any that runs if none of those
+	 * does.
+	 */
+	unsigned draw_vm()
 	{
 		unsigned among = any_up(used) ? used : (unsigned)vms.size();
 		unsigned vm;
@@ -230,11 +235,13 @@
 			[&](const Vm &vm) { return vm.down_until <= now; });
 	}
 
-	/* Once any VM was down, stood still or was cut off, or messages were
-	 * lost, some may be silent. */
-	bool may_be_silent() const
+	/*
+	 * VMs may be silent once any of them was down, suspended or cut off, or
+	 * messages were lost.
+	 */
+	bool may_have_silent() const
 	{
-		return lost > 0 || news_take != NEWS_TAKE ||
+		return lost > 0 || report_delay != REPORT_DELAY ||
 		       std::any_of(vms.begin(), vms.end(), [&](const Vm &vm) {
 			       return vm.life > 1 || vm.stopped_until ||
 				      vm.side;
@@ -246,18 +253,18 @@
 		apr_time_t end = now + length;
 		double due = 0;
 
-		any_silent |= may_be_silent();
+		some_silent |= may_have_silent();
 
 		while (now < end) {
 			now += STEP;
-			tell();
-			repeat();
+			exchange_reports();
+			send_repeats();
 			due += a_second * (double)STEP / 1e6;
 			for (; due >= 1; due--) {
 				requests.push_back(now);
 				if (!any_up(vms.size()))
 					continue;
-				unsigned vm = draw();
+				unsigned vm = draw_vm();
 
 				tr_allowance_request(&vms[vm].allowance, &bound,
 						     now);
@@ -275,9 +282,11 @@
 						 from));
 	}
 
-	/* The most that any window has, as a part of what operators allow it.
+	/*
+	 * The highest use of the bound in any window, relative to what
+	 * operators allow.
 	 */
-	double most_used() const
+	double max_use() const
 	{
 		const apr_time_t w = bound.window;
 		double most = 0;
@@ -296,7 +305,7 @@
 	}
 };
 
-/* Fleets of two sizes before services with many, some and few requests. */
+/* Fleet sizes, each with a service with many, some or few requests. */
 struct Size {
 	unsigned vms;
 	double slack;
@@ -305,8 +314,10 @@
 
 const Size SIZES[] = { { 100, 174, 1000 }, { 44, 62, 75 }, { 44, 62, 8.67 } };
 
-/* Play a fault that begins a second after targets begin to refuse, and expect
- * the bound to hold in any window. */
+/*
+ * Injects a fault one second after targets start to refuse, and expects the
+ * bound to hold in every window.
+ */
 template <typename F> void expect_bound(const Size &size, F fault)
 {
 	for (double refusing : { 0.55, 0.9 }) {
@@ -318,7 +329,7 @@
 			fleet.play(TR_SEC(1), size.a_second);
 			fault(fleet);
 			fleet.play(TR_SEC(13), size.a_second);
-			EXPECT_LE(fleet.most_used(), 1.0)
+			EXPECT_LE(fleet.max_use(), 1.0)
 				<< size.vms << " VMs, " << size.a_second
 				<< " requests a second, " << refusing
 				<< " refused, seed " << seed;
@@ -326,8 +337,10 @@
 	}
 }
 
-/* Guards against repeats that outrun the news of them when most targets turn
- * requests away at once. */
+/*
+ * Guards against repeats that are sent faster than they are reported when most
+ * targets refuse requests at once.
+ */
 TEST(AllowanceLoad, TheBoundHoldsWhenAllTargetsRefuseAtOnce)
 {
 	for (double refusing : { 0.55, 0.95 }) {
@@ -337,14 +350,13 @@
 			fleet.play(TR_SEC(8), 1000);
 			fleet.refusing = refusing;
 			fleet.play(TR_SEC(14), 1000);
-			EXPECT_LE(fleet.most_used(), 1.0)
+			EXPECT_LE(fleet.max_use(), 1.0)
 				<< refusing << " seed " << seed;
 		}
 	}
 }
 
-/* Guards against a bound that is mostly left unused while callers are refused.
- */
+/* Guards against a bound that is mostly unused while callers are refused. */
 TEST(AllowanceLoad, MostOfTheBoundIsUsed)
 {
 	Fleet large(100, 174, 7919);
@@ -353,33 +365,35 @@
 	large.refusing = small.refusing = 0.55;
 	large.play(TR_SEC(30), 1000);
 	small.play(TR_SEC(30), 75);
-	EXPECT_GE(large.most_used(), 0.85);
-	EXPECT_GE(small.most_used(), 0.85);
+	EXPECT_GE(large.max_use(), 0.85);
+	EXPECT_GE(small.max_use(), 0.85);
 }
 
-/* Guards against VMs that take for unused what others spent and they have not
- * heard of yet. */
+/*
+ * Guards against VMs that use again what others have already used and not yet
+ * reported.
+ */
 TEST(AllowanceLoad, TheBoundHoldsWhileNewsAreLate)
 {
 	for (const Size &size : SIZES)
 		for (apr_time_t late : { TR_MSEC(300), TR_SEC(1), TR_SEC(2) })
 			expect_bound(size, [&](Fleet &fleet) {
-				fleet.news_take = late;
+				fleet.report_delay = late;
 			});
 }
 
-/* Guards against the same where news were late all along. */
+/* Guards against the same if reports were late from the start. */
 TEST(AllowanceLoad, TheBoundHoldsWhereNewsAreAlwaysLate)
 {
 	for (const Size &size : SIZES) {
 		for (apr_time_t late : { TR_MSEC(600), TR_SEC(2) }) {
 			Fleet fleet(size.vms, size.slack, 7919);
 
-			fleet.news_take = late;
+			fleet.report_delay = late;
 			fleet.play(TR_SEC(12), size.a_second);
 			fleet.refusing = 0.95;
 			fleet.play(TR_SEC(14), size.a_second);
-			EXPECT_LE(fleet.most_used(), 1.0)
+			EXPECT_LE(fleet.max_use(), 1.0)
 				<< size.vms << " VMs, " << size.a_second
 				<< " requests a second, news after " << late;
 		}
@@ -395,8 +409,7 @@
 				     [&](Fleet &fleet) { fleet.lost = lost; });
 }
 
-/* Guards against a fleet that is split and spends the whole bound on each side.
- */
+/* Guards against a split fleet that uses the whole bound on each side. */
 TEST(AllowanceLoad, TheBoundHoldsWhileHalvesOfTheFleetAreCut)
 {
 	for (const Size &size : SIZES)
@@ -409,7 +422,8 @@
 		});
 }
 
-/* Guards against processes that take the window before their start for unused.
+/*
+ * Guards against processes that take the window before their start for unused.
  */
 TEST(AllowanceLoad, TheBoundHoldsAsSomeVmsRestart)
 {
@@ -421,7 +435,7 @@
 			});
 }
 
-/* Guards against the same where no VM is left that knows the window. */
+/* Guards against the same if no VM is left that knows the window. */
 TEST(AllowanceLoad, TheBoundHoldsAsAllVmsRestart)
 {
 	for (const Size &size : SIZES)
@@ -448,7 +462,7 @@
 			});
 }
 
-/* Guards against VMs that stood still and take what they missed for unused. */
+/* Guards against suspended VMs that take what they missed for unused. */
 TEST(AllowanceLoad, TheBoundHoldsAsVmsStandStill)
 {
 	for (const Size &size : SIZES)
@@ -459,8 +473,10 @@
 		});
 }
 
-/* Guards against VMs that are left with the callers of most others, and earn
- * once more what the lost ones have already sent. */
+/*
+ * Guards against VMs that get the callers of most other VMs and earn again the
+ * repeats that the lost VMs have already sent.
+ */
 TEST(AllowanceLoad, TheBoundHoldsAsMostVmsAreLostForSeconds)
 {
 	for (const Size &size : SIZES) {
@@ -475,7 +491,7 @@
 					if (i % kept)
 						fleet.restart(i, TR_SEC(6));
 				fleet.play(TR_SEC(12), size.a_second);
-				EXPECT_LE(fleet.most_used(), 1.0)
+				EXPECT_LE(fleet.max_use(), 1.0)
 					<< size.vms << " VMs, " << size.a_second
 					<< " requests a second, one in " << kept
 					<< " kept, seed " << seed;
@@ -484,7 +500,7 @@
 	}
 }
 
-/* Guards against the same where callers leave VMs that run on. */
+/* Guards against the same if callers leave VMs that keep running. */
 TEST(AllowanceLoad, TheBoundHoldsAsCallersCrowdOnAQuarterOfTheVms)
 {
 	for (const Size &size : SIZES) {
@@ -496,15 +512,17 @@
 			fleet.play(TR_SEC(6), size.a_second);
 			fleet.used = size.vms / 4;
 			fleet.play(TR_SEC(12), size.a_second);
-			EXPECT_LE(fleet.most_used(), 1.0)
+			EXPECT_LE(fleet.max_use(), 1.0)
 				<< size.vms << " VMs, " << size.a_second
 				<< " requests a second, seed " << seed;
 		}
 	}
 }
 
-/* Guards against VMs that take for unused what others sent in the moment before
- * they were lost, or behind a cut that they were lost in. */
+/*
+ * Guards against VMs that take for unused what others sent just before they
+ * were lost, or behind a partition in which they were lost.
+ */
 TEST(AllowanceLoad, TheBoundHoldsAsVmsAreLostThatHaveNotToldAll)
 {
 	const Size sizes[] = { { 44, 62, 300 }, SIZES[0] };
@@ -528,7 +546,7 @@
 				for (Vm &vm : fleet.vms)
 					vm.side = 0;
 				fleet.play(TR_SEC(11), size.a_second);
-				EXPECT_LE(fleet.most_used(), 1.0)
+				EXPECT_LE(fleet.max_use(), 1.0)
 					<< size.vms << " VMs, "
 					<< (cut ? "cut, " : "") << "seed "
 					<< seed;
@@ -537,31 +555,32 @@
 	}
 }
 
-/* A change to the fleet or its load, at a time. */
+/* A change to the fleet or its load at a point in time. */
 struct Event {
 	apr_time_t at;
 	std::function<void(Fleet &)> happens;
 };
 
-/* Fleets for drawn faults. */
-const Size DRAWN_SIZES[] = {
-	{ 100, 174, 1000 }, { 44, 62, 75 }, { 44, 62, 93 },
-	{ 44, 62, 8.67 },   { 32, 56, 60 }, { 44, 62, 300 }
-};
+/* Fleets for random faults. */
+const Size RANDOM_SIZES[] = { { 100, 174, 1000 }, { 44, 62, 75 },
+			      { 44, 62, 93 },	  { 44, 62, 8.67 },
+			      { 32, 56, 60 },	  { 44, 62, 300 } };
 
-/* A fleet and one to five faults near the time at which targets begin to
- * refuse; a seed always draws the same ones. */
-class Drawn
+/*
+ * A fleet with one to five random faults around the time when targets start to
+ * refuse. A seed always gives the same faults.
+ */
+class RandomFaults
 {
       public:
-	explicit Drawn(uint64_t seed)
+	explicit RandomFaults(uint64_t seed)
 	    : draws{ seed * 7919 },
-	      size(DRAWN_SIZES[tr_random_below(&draws, 6)]),
+	      size(RANDOM_SIZES[tr_random_below(&draws, 6)]),
 	      fleet(size.vms, size.slack, seed), a_second(size.a_second)
 	{
 	}
 
-	/* What the worst window has of the bound. */
+	/* Returns the highest use of the bound in any window. */
 	double play()
 	{
 		double refused = within(0.5, 0.97);
@@ -581,7 +600,7 @@
 				fleet.play(e.at - fleet.now, a_second);
 			e.happens(fleet);
 		}
-		return fleet.most_used();
+		return fleet.max_use();
 	}
 
       private:
@@ -602,7 +621,7 @@
 				   std::move(happens) });
 	}
 
-	/* Let it happen to a part of the VMs. */
+	/* Applies it to each VM with this probability. */
 	static void each(Fleet &f, double share,
 			 const std::function<void(unsigned)> &happens)
 	{
@@ -645,7 +664,7 @@
 				break;
 			}
 			add(at, [=](Fleet &f) {
-				f.news_take = (apr_time_t)(share * 2e6);
+				f.report_delay = (apr_time_t)(share * 2e6);
 			});
 			break;
 		case 5:
@@ -675,28 +694,32 @@
 	}
 };
 
-/* Guards against faults that each keep the bound and together don't: VMs are
- * lost, cut off or stand still, messages are late or lost, callers crowd or
- * come in a burst. */
+/*
+ * Guards against faults that violate the bound only in combination: VMs are
+ * lost, cut off or suspended, messages are late or lost, callers move to few
+ * VMs or arrive in a burst.
+ */
 TEST(AllowanceLoad, TheBoundHoldsUnderSeveralFaultsAtOnce)
 {
 	for (unsigned seed = 101; seed <= 200; seed++)
-		EXPECT_LE(Drawn(seed).play(), 1.0) << "seed " << seed;
+		EXPECT_LE(RandomFaults(seed).play(), 1.0) << "seed " << seed;
 }
 
-/* Guards against VMs that are lost behind a cut, with all that they sent in it.
+/*
+ * Guards against VMs that are lost behind a partition, with all unreported
+ * repeats.
  */
 TEST(AllowanceLoad, TheBoundHoldsAsVmsAreLostBehindACut)
 {
 	for (unsigned seed : { 34U, 847U, 2521U, 2816U })
-		EXPECT_LE(Drawn(seed).play(), 1.0) << "seed " << seed;
+		EXPECT_LE(RandomFaults(seed).play(), 1.0) << "seed " << seed;
 }
 
 /* Guards against callers that move while messages are late or lost. */
 TEST(AllowanceLoad, TheBoundHoldsAsCallersMoveWhileMessagesAreLost)
 {
 	for (unsigned seed : { 34U, 1598U })
-		EXPECT_LE(Drawn(seed).play(), 1.0) << "seed " << seed;
+		EXPECT_LE(RandomFaults(seed).play(), 1.0) << "seed " << seed;
 }
 
 } // namespace
--- a/tests/limit_load_test.cc
+++ b/tests/limit_load_test.cc
@@ -1,8 +1,8 @@
 /*
- * Plays an organisation's requests at a fleet and checks the limit as operators
- * state it: in no window are more let through, over all VMs, than the rate
- * allows for it and the burst, with the part and the number that they leave;
- * and what stays below the limit is not refused.
+ * Sends an organisation's requests to a fleet and checks its limit as operators
+ * define it: in no window do all VMs together admit more than the rate and the
+ * burst allow, plus the tolerated overrun, and requests below the limit are not
+ * refused.
  */
 #include <algorithm>
 #include <cmath>
@@ -21,12 +21,14 @@
 {
 
 const tr_limit_bound BOUND = { TR_SEC(5), 0.25, 20 };
-/* Seconds that a process takes at least to be back. */
-const double DOWN = 0.3;
-/* And for how long requests then wait until it knows the others: so long, and
- * some VMs longer than others. */
-const double SETTLES = 0.2;
-const double SETTLES_MORE = 0.4;
+/* Minimum time for a process to restart, in seconds. */
+const double DOWN_S = 0.3;
+/*
+ * How long requests wait after that until the VM knows the others, with an
+ * extra time that differs between VMs.
+ */
+const double SETTLE_S = 0.2;
+const double SETTLE_EXTRA_S = 0.4;
 const tr_limit_fleet WHOLE = { 1, 1 };
 
 struct Load {
@@ -34,19 +36,19 @@
 	double burst = 100;
 	unsigned groups = 4;
 	unsigned vms = 104;
-	/* Requests a second, and the part of them that each group gets. */
+	/* Requests a second, and the share of them that each group gets. */
 	std::function<double(double)> demand = [](double) { return 60; };
 	std::function<double(double, unsigned)> part = [](double, unsigned) {
 		return 1.0;
 	};
-	/* The part of the VMs that is cut off, and from when to when. */
+	/* The share of the VMs that is cut off, and from when to when. */
 	double cut = 0, cut_from = 0, cut_to = 0;
-	/* All VMs begin anew, knowing nothing; a start takes DOWN. */
+	/* When all VMs restart without state; this takes DOWN_S. */
 	double restart = -1;
-	/* One VM in so many begins anew, from then on, one each gap_s. */
+	/* When one in part_every VMs restarts, one every gap_s. */
 	double part_from = -1, gap_s = 0;
 	unsigned part_every = 1;
-	/* From when on messages are late, in s, or lost. */
+	/* From when on messages are late, by this many s, or lost. */
 	double poor_from = 1e9, late = 0, lost = 0;
 	double seconds = 25;
 };
@@ -54,10 +56,10 @@
 struct Fleet {
 	struct Vm {
 		tr_limits limits{};
-		std::vector<tr_limit_totals> told;
+		std::vector<tr_limit_totals> reported;
 		bool cut = false;
 	};
-	struct Told {
+	struct Report {
 		apr_time_t at;
 		unsigned from, to;
 		tr_limit_totals totals;
@@ -69,11 +71,11 @@
 	std::mt19937 gen;
 	tr_random random;
 	std::vector<Vm> vms;
-	std::vector<Told> way;
+	std::vector<Report> in_transit;
 	std::vector<double> admitted;
-	unsigned owed = 0, refused = 0;
+	unsigned within_ideal = 0, refused = 0;
 	double t = 0;
-	std::vector<unsigned> held;
+	std::vector<unsigned> waiting_requests;
 	std::deque<double> ideal;
 	unsigned part_next = 0, part_begun = 0;
 
@@ -115,31 +117,34 @@
 		tr_limits_release(&vm.limits);
 		tr_limits_find_or_add(&vm.limits, "one");
 		tr_limit_set(limit(vm), load.rate, load.burst, now());
-		vm.told.assign(load.vms, {});
+		vm.reported.assign(load.vms, {});
 	}
 
-	/* The others hear that it counts anew, and it hears what they had
-	 * counted before. */
-	void begin_one(unsigned i)
+	/*
+	 * The others learn that it counts from zero, and it learns what they
+	 * had counted before.
+	 */
+	void restart_one(unsigned i)
 	{
 		begin(vms[i]);
-		way.erase(std::remove_if(way.begin(), way.end(),
-					 [&](const Told &told) {
-						 return told.from == i ||
-							told.to == i;
-					 }),
-			  way.end());
+		in_transit.erase(
+			std::remove_if(in_transit.begin(), in_transit.end(),
+				       [&](const Report &reported) {
+					       return reported.from == i ||
+						      reported.to == i;
+				       }),
+			in_transit.end());
 		for (unsigned k = 0; k < load.vms; k++) {
-			vms[k].told[i] = {};
-			vms[i].told[k] = limit(vms[k])->own;
+			vms[k].reported[i] = {};
+			vms[i].reported[k] = limit(vms[k])->own;
 		}
 	}
 
-	void begin_some()
+	void restart_some()
 	{
 		while (part_next < load.vms &&
 		       t >= load.part_from + part_begun * load.gap_s) {
-			begin_one(part_next);
+			restart_one(part_next);
 			part_next += load.part_every;
 			part_begun++;
 		}
@@ -151,8 +156,8 @@
 		       vm < load.cut * load.vms;
 	}
 
-	/* What one VM that saw all would let through. */
-	bool is_owed()
+	/* Whether a single VM that saw all requests would admit this one. */
+	bool is_within_ideal()
 	{
 		double window = (double)BOUND.window / 1e6;
 
@@ -164,9 +169,11 @@
 		return true;
 	}
 
-	/* What a VM hears: silence is noticed after a routine message and some
-	 * (tr_membership_recent_share). */
-	tr_limit_fleet heard(unsigned vm) const
+	/*
+	 * What a VM knows of the fleet: silence is noticed after a routine
+	 * message and some delay (tr_membership_recent_share).
+	 */
+	tr_limit_fleet known_fleet(unsigned vm) const
 	{
 		bool noticed =
 			t >= load.cut_from + 0.7 && t < load.cut_to + 0.5;
@@ -180,10 +187,10 @@
 
 	void request(unsigned vm)
 	{
-		tr_limit_fleet fleet = heard(vm);
-		bool is_due = is_owed();
+		tr_limit_fleet fleet = known_fleet(vm);
+		bool is_due = is_within_ideal();
 
-		owed += is_due;
+		within_ideal += is_due;
 		if (tr_limit_admit(limit(vms[vm]), &BOUND, &fleet, &random,
 				   now()))
 			admitted.push_back(t);
@@ -197,21 +204,20 @@
 		arrive(vm);
 	}
 
-	/* Callers come some seconds after the VMs have started. */
-	/* Requests that come while a VM does not know the others yet wait. */
+	/* Requests that arrive before the VM knows the others wait. */
 	bool is_settling(unsigned vm) const
 	{
-		double settles = SETTLES + SETTLES_MORE * vm / load.vms;
+		double settles = SETTLE_S + SETTLE_EXTRA_S * vm / load.vms;
 
-		return load.restart >= 0 && t > load.restart + DOWN &&
-		       t < load.restart + DOWN + settles;
+		return load.restart >= 0 && t > load.restart + DOWN_S &&
+		       t < load.restart + DOWN_S + settles;
 	}
 
-	void serve_held()
+	void serve_waiting()
 	{
 		std::vector<unsigned> waiting;
 
-		waiting.swap(held);
+		waiting.swap(waiting_requests);
 		for (unsigned vm : waiting)
 			arrive(vm);
 	}
@@ -219,13 +225,14 @@
 	void arrive(unsigned vm)
 	{
 		if (is_settling(vm))
-			held.push_back(vm);
+			waiting_requests.push_back(vm);
 		else
 			request(vm);
 	}
 
 	void arrivals(double dt)
 	{
+		/* Callers arrive some seconds after the VMs have started. */
 		if (t < 3)
 			return;
 		std::poisson_distribution<unsigned> n(load.demand(t) * dt);
@@ -246,21 +253,21 @@
 
 	void send(unsigned from, unsigned to, bool rate)
 	{
-		Told told{};
+		Report reported{};
 
 		if (from == to || is_cut(from) || is_cut(to) || unit() < 0.02)
 			return;
 		if (t > load.poor_from && unit() < load.lost)
 			return;
-		told.at = now() + TR_MSEC((int)(1 + 30 * unit()));
+		reported.at = now() + TR_MSEC((int)(1 + 30 * unit()));
 		if (t > load.poor_from)
-			told.at += (apr_time_t)(load.late * 1e6);
-		told.from = from;
-		told.to = to;
-		told.totals = limit(vms[from])->own;
-		told.rate = rate;
-		told.demand = tr_limit_demand(limit(vms[from]), now());
-		way.push_back(told);
+			reported.at += (apr_time_t)(load.late * 1e6);
+		reported.from = from;
+		reported.to = to;
+		reported.totals = limit(vms[from])->own;
+		reported.rate = rate;
+		reported.demand = tr_limit_demand(limit(vms[from]), now());
+		in_transit.push_back(reported);
 	}
 
 	void tell(unsigned from)
@@ -283,26 +290,26 @@
 		}
 	}
 
-	void deliver()
+	void deliver_reports()
 	{
-		for (size_t k = 0; k < way.size(); k++) {
-			const Told told = way[k];
-			Vm &vm = vms[told.to];
+		for (size_t k = 0; k < in_transit.size(); k++) {
+			const Report reported = in_transit[k];
+			Vm &vm = vms[reported.to];
 
-			if (told.at > now())
+			if (reported.at > now())
 				continue;
-			way[k--] = way.back();
-			way.pop_back();
-			if (told.rate) {
+			in_transit[k--] = in_transit.back();
+			in_transit.pop_back();
+			if (reported.rate) {
 				tr_limit_group_reported(limit(vm),
-							group_of(told.from),
-							told.demand, now());
+							group_of(reported.from),
+							reported.demand, now());
 				continue;
 			}
 			tr_limit_reported(limit(vm), &BOUND,
-					  &vm.told[told.from], &told.totals,
-					  now());
-			vm.told[told.from] = told.totals;
+					  &vm.reported[reported.from],
+					  &reported.totals, now());
+			vm.reported[reported.from] = reported.totals;
 		}
 	}
 
@@ -313,25 +320,25 @@
 		for (int i = 0; t < load.seconds; i++, t = i * dt) {
 			if (load.restart >= 0 &&
 			    std::fabs(t - load.restart) < dt / 2) {
-				way.clear();
+				in_transit.clear();
 				for (Vm &vm : vms)
 					begin(vm);
 			}
-			serve_held();
+			serve_waiting();
 			if (load.part_from >= 0)
-				begin_some();
-			if (t < load.restart || t > load.restart + DOWN)
+				restart_some();
+			if (t < load.restart || t > load.restart + DOWN_S)
 				arrivals(dt);
 			for (unsigned vm = 0; vm < load.vms; vm++)
 				if ((vm + (unsigned)i) % 8 == 0)
 					tell(vm);
 			if (i % 25 == 0)
 				summaries();
-			deliver();
+			deliver_reports();
 		}
 	}
 
-	/* The fullest window, as a part of what may be let through in one. */
+	/* The fullest window, relative to what may be admitted in one. */
 	double fullest() const
 	{
 		double window = (double)BOUND.window / 1e6;
@@ -350,7 +357,7 @@
 
 	double refused_share() const
 	{
-		return owed ? (double)refused / owed : 0;
+		return within_ideal ? (double)refused / within_ideal : 0;
 	}
 };
 
@@ -359,8 +366,11 @@
 	return t > 8 && t < 14.5 ? 470 : 62;
 }
 
-/* Below the limit nobody is refused for how few requests each VM sees. */
-TEST(LimitLoad, BelowTheLimitLessThanOneInAHundredIsRefused)
+/*
+ * Below the limit no request is refused just because each VM sees only a few of
+ * them.
+ */
+TEST(LimitLoad, BelowTheLimitLessThanOneInAHundredAreRefused)
 {
 	for (double rate : { 4.0, 20.0, 100.0 }) {
 		for (double of : { 0.62, 0.9 }) {
@@ -369,20 +379,21 @@
 			load.rate = load.burst = rate;
 			load.demand = [=](double) { return of * rate; };
 			load.seconds = 60;
-			double refused = 0, owed = 0;
+			double refused = 0, within_ideal = 0;
 
 			for (unsigned seed = 1; seed <= 6; seed++) {
 				Fleet f(load, seed);
 				f.run();
 				refused += f.refused;
-				owed += f.owed;
+				within_ideal += f.within_ideal;
 			}
-			EXPECT_LT(refused / owed, 0.01) << rate << " " << of;
+			EXPECT_LT(refused / within_ideal, 0.01)
+				<< rate << " " << of;
 		}
 	}
 }
 
-/* An organisation whose callers move from one data centre to another. */
+/* An organisation's callers move from one data centre to another. */
 TEST(LimitLoad, CallersThatMoveAreNotRefused)
 {
 	Load load;
@@ -396,7 +407,7 @@
 	EXPECT_LT(f.refused_share(), 0.01);
 }
 
-/* What is allowed comes through also while seven times as much is sent. */
+/* The allowed rate is admitted even at seven times the load. */
 TEST(LimitLoad, AFloodFillsItsLimitAndNoMore)
 {
 	for (unsigned seed = 1; seed <= 5; seed++) {
@@ -427,11 +438,11 @@
 }
 
 /*
- * Symptom: an organisation gets more than its limit. Sequence: it floods, and a
- * part of the VMs is cut off from the others while callers still reach them.
- * Cause: each VM that is cut off sees nobody else use the limit.
+ * Guards against an organisation that gets more than its limit: it floods, and
+ * some of the VMs are cut off from the others while callers still reach them.
+ * Each VM that is cut off sees no other VM use the limit.
  */
-TEST(LimitLoad, VmsThatAreCutOffKeepToTheirPart)
+TEST(LimitLoad, VmsThatAreCutOffKeepToTheirShare)
 {
 	for (double cut : { 0.1, 0.3, 0.5 }) {
 		for (unsigned seed = 1; seed <= 5; seed++) {
@@ -448,7 +459,7 @@
 	}
 }
 
-/* All VMs start anew in the flood, with counts that are empty. */
+/* All VMs restart during a flood, with empty counts. */
 TEST(LimitLoad, ARestartOfAllVmsOverrunsNothing)
 {
 	for (unsigned seed = 1; seed <= 5; seed++) {
@@ -462,8 +473,10 @@
 	}
 }
 
-/* Guards against VMs that take for unused what others let through and they have
- * not heard of yet. */
+/*
+ * Guards against VMs that use again what others have already admitted and not
+ * yet reported.
+ */
 TEST(LimitLoad, ALimitHoldsWhileNewsAreLate)
 {
 	for (double late : { 0.3, 1.0, 2.0 }) {
@@ -480,8 +493,7 @@
 	}
 }
 
-/* Guards against messages between VMs that are lost, and not so many that a VM
- * seems silent. */
+/* Guards against lost messages between VMs, too few for a VM to seem silent. */
 TEST(LimitLoad, ALimitHoldsWhileMessagesAreLost)
 {
 	for (double lost : { 0.3, 0.7 }) {
@@ -498,7 +510,8 @@
 	}
 }
 
-/* Guards against processes that take the window before their start for unused.
+/*
+ * Guards against processes that take the window before their start for unused.
  */
 TEST(LimitLoad, ALimitHoldsAsSomeVmsRestart)
 {
@@ -533,13 +546,13 @@
 	}
 }
 
-bool come(tr_limit *l, tr_random *random, apr_time_t now)
+bool arrive_and_admit(tr_limit *l, tr_random *random, apr_time_t now)
 {
 	tr_limit_arrived(l, &BOUND, now);
 	return tr_limit_admit(l, &BOUND, &WHOLE, random, now);
 }
 
-TEST(Limit, ALowerLimitBindsAtOnce)
+TEST(Limit, ALowerLimitAppliesAtOnce)
 {
 	tr_limits limits{};
 	tr_random random{ 1 };
@@ -551,7 +564,8 @@
 	tr_limit_set(l, 1000, 1000, TR_SEC(100));
 	tr_limit_set(l, 2, 2, TR_SEC(100));
 	for (int i = 0; i < 500; i++)
-		n += come(l, &random, TR_SEC(101) + TR_MSEC(i * 10));
+		n += arrive_and_admit(l, &random,
+				      TR_SEC(101) + TR_MSEC(i * 10));
 	EXPECT_LE(n, (2 * 5 + 2) * 1.25 + 20);
 	EXPECT_GE(n, 2u * 5);
 	tr_limits_release(&limits);
@@ -567,11 +581,11 @@
 	l = &limits.rows[0];
 	tr_limit_set(l, 0, 0, TR_SEC(100));
 	for (int i = 0; i < 1000; i++)
-		EXPECT_TRUE(come(l, &random, TR_SEC(100) + i));
+		EXPECT_TRUE(arrive_and_admit(l, &random, TR_SEC(100) + i));
 	tr_limits_release(&limits);
 }
 
-TEST(Limit, WhoIsRefusedIsToldToComeBackLaterAndNotTogether)
+TEST(Limit, RetryAfterIsRandomised)
 {
 	tr_limits limits{};
 	tr_random random{ 1 };
@@ -584,7 +598,7 @@
 	for (int i = 0; i < 100; i++) {
 		apr_time_t after;
 
-		come(l, &random, TR_SEC(100) + i);
+		arrive_and_admit(l, &random, TR_SEC(100) + i);
 		after = tr_limit_retry_after(l, &BOUND, &random);
 		least = std::min(least, after);
 		most = std::max(most, after);
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -70,9 +70,11 @@
 	}
 };
 
-/* Of alike targets the one to which a connection rests comes first, for what
- * may go on it; not before an idle one when it is busy or probably gray. */
-TEST_F(Place, AKeptConnectionIsPreferredAmongAlikes)
+/*
+ * Among equal targets one with an idle connection is preferred for requests
+ * that may use it, but not to an idle target if it is busy or probably gray.
+ */
+TEST_F(Place, AnIdleConnectionIsPreferredAmongEqualTargets)
 {
 	add_many(4);
 	roster.rows[2].kept = 1;
@@ -86,7 +88,7 @@
 	EXPECT_LT(draw(500)[2], 5);
 }
 
-TEST_F(Place, AGrayTargetIsLeftOut)
+TEST_F(Place, AGrayTargetGetsNothing)
 {
 	add_many(4);
 	tr_gray_add(&roster.rows[2].gray, TR_SYMPTOM_FAILED, 2, now);
@@ -94,11 +96,11 @@
 }
 
 /*
- * Symptom: a new target gets six requests at once, hangs, and all are lost.
- * Sequence: its cold time ends; it is idle, and the cheapest for all VMs until
- * they hear of each other's requests. Cause: all took the one cheapest.
+ * Guards against a new target that gets six requests at once, hangs and loses
+ * them all. When its cold time ended it was idle and the cheapest target for
+ * all VMs until they received each other's reports, and all chose it.
  */
-TEST_F(Place, AnIdleTargetIsNotTakenByAllAtOnce)
+TEST_F(Place, AnIdleTargetIsNotChosenByAllAtOnce)
 {
 	add_many(5);
 	for (int i = 0; i < 4; i++)
@@ -107,9 +109,9 @@
 }
 
 /*
- * Symptom: a request that is sent once more after its aim goes to another gray
- * target. Sequence: of its aim nothing is left. Cause: waits were weighed
- * against what is left of the aim, and outweighed any risk.
+ * Guards against a request that is retried after its latency aim and goes to
+ * another gray target: waits were weighed against what was left of the aim, so
+ * that with nothing left they outweighed any risk.
  */
 TEST_F(Place, RiskCountsAlsoWhenTheAimHasPassed)
 {
@@ -121,12 +123,12 @@
 }
 
 /*
- * Symptom: a target that is well again gets nothing for seconds, or gets work
- * that must run once to find that out. Sequence: failures are errors that come
- * after 3 ms; a read would be answered by another target in time. Cause: every
- * failure was held to cost nearly as much as a lost request.
+ * Guards against a recovered target that gets no requests for seconds, or only
+ * ones that must run once. Its failures were errors after 3 ms, so that another
+ * target would have answered a read in time, but every failure was assumed to
+ * cost nearly as much as a lost request.
  */
-TEST_F(Place, AReadTriesSuspectsWhereFailuresAreQuick)
+TEST_F(Place, AReadProbesSuspectsIfFailuresAreQuick)
 {
 	add_many(2);
 	roster.rows[0].others_in_flight = 6;
@@ -137,8 +139,11 @@
 	EXPECT_GT(draw(200)[1], 190);
 }
 
-/* A hang costs a read most of its aim: it stays away like any other. */
-TEST_F(Place, AReadAvoidsSuspectsWhereFailuresAreHangs)
+/*
+ * If failures are hangs, one costs a read most of its latency aim, so reads
+ * avoid suspects like other requests.
+ */
+TEST_F(Place, AReadAvoidsSuspectsIfFailuresAreHangs)
 {
 	add_many(2);
 	roster.rows[0].others_in_flight = 3;
@@ -156,11 +161,11 @@
 }
 
 /*
- * Symptom: a request waits for its whole timeout and is then refused. Sequence:
- * all targets have queues that are longer than its time. Cause: it was sent, or
- * kept, though it could not be done any more.
+ * Guards against a request that waits for its whole timeout and is then
+ * refused: all targets had queues longer than its time, but it was sent or
+ * queued anyway.
  */
-TEST_F(Place, WhatCannotBeDoneInTimeIsSaidAtOnce)
+TEST_F(Place, WhatCannotEndInTimeIsRefusedAtOnce)
 {
 	tr_placement p;
 
@@ -193,7 +198,7 @@
 		  TR_PLACE_NONE_KNOWN);
 }
 
-TEST_F(Place, ALargeBodyStaysInItsDataCentreWhileThereIsRoom)
+TEST_F(Place, ALargeBodyStaysInItsDataCentreWhileSlotsAreFree)
 {
 	add("near");
 	add("far", "dc-2");
@@ -204,10 +209,10 @@
 }
 
 /*
- * Symptom: five of six sound targets get nothing for two seconds. Sequence:
- * many targets fail at the same time and are well again; all are suspect, and
- * the few that are not get all the work. Cause: suspicion knew no floor. Here
- * the last two of eight seconds are looked at.
+ * Guards against five of six sound targets that get nothing for two seconds.
+ * Many targets failed at the same time and recovered; all were suspects, and
+ * the few others got all requests, since suspicion had no floor. The last two
+ * of eight seconds are checked.
  */
 TEST_F(Place, AShareOfTheTargetsIsUsedInSpiteOfSuspicion)
 {
@@ -236,10 +241,10 @@
 }
 
 /*
- * Symptom: 35 of 59 sound targets of a service get nothing for two seconds.
- * Sequence: the fleet has split into groups; of other groups' targets a VM does
- * not hear when they are used, so it holds them to be idle. Cause: it sent the
- * floor's requests to those, and its own group's targets went without.
+ * Guards against 35 of 59 sound targets of a service that get nothing for two
+ * seconds. The fleet had split into groups, and a VM receives no reports on
+ * when other groups' targets are used, so it took these for idle and sent them
+ * the floor's requests, which its own group's targets lacked.
  */
 TEST_F(Place, TheFloorIsKeptForTheOwnGroupsTargets)
 {
@@ -259,9 +264,11 @@
 		EXPECT_GE(row, 16u);
 }
 
-/* Work goes to another group's targets when the own ones are full, and there to
- * those that their group says have room. */
-TEST_F(Place, WorkSpillsToOtherGroupsWhenTheOwnIsFull)
+/*
+ * Requests go to another group's targets if the group's own are full, and there
+ * to those that have free slots by their group's reports.
+ */
+TEST_F(Place, RequestsGoToOtherGroupsWhenTheOwnIsFull)
 {
 	for (int i = 0; i < 4; i++)
 		add(("near" + std::to_string(i)).c_str());
@@ -280,8 +287,8 @@
 		EXPECT_GE(row, 6u);
 }
 
-/* Of a service with hardly any requests, nothing is due. */
-TEST_F(Place, AQuietServiceKeepsAwayFromSuspects)
+/* A service with hardly any requests sends none for the floor. */
+TEST_F(Place, AServiceWithFewRequestsAvoidsSuspects)
 {
 	add_many(4);
 	tr_gray_add(&roster.rows[3].gray, TR_SYMPTOM_FAILED, 1, now);
@@ -290,10 +297,10 @@
 }
 
 /*
- * Symptom: refused callers all come back at the same moment and are refused
- * again. Cause: one Retry-After for all.
+ * Guards against refused callers that all come back at the same moment and are
+ * refused again, because all got the same Retry-After.
  */
-TEST_F(Place, ReturnsAreSpread)
+TEST_F(Place, RetryAfterIsRandomised)
 {
 	std::vector<apr_time_t> after;
 
@@ -308,8 +315,7 @@
 	EXPECT_GE(*std::min_element(after.begin(), after.end()), req.usual);
 }
 
-/* Name a limit for the target in the row, and let its bucket fill for a time.
- */
+/* Sets a limit for the target in the row. */
 void set_limit(tr_roster *roster, uint32_t row, double rate, apr_time_t at)
 {
 	tr_send_limit_set(&roster->limits,
@@ -317,7 +323,7 @@
 			  rate, at, at);
 }
 
-/* Guards against a target that is given more than the limit that it named. */
+/* Guards against a target that gets more requests than the limit it set. */
 TEST_F(Place, ATargetWithALimitGetsNothingBeyondIt)
 {
 	add_many(3);
@@ -332,8 +338,8 @@
 	EXPECT_EQ(draw(200)[1], 0);
 }
 
-/* Guards against VMs that all see the same room and each use it. */
-TEST_F(Place, WhereManyWantALimitedTargetFewTryIt)
+/* Guards against VMs that all see the same token and each use it. */
+TEST_F(Place, FewOfManyRequestsGoToALimitedTarget)
 {
 	add_many(3);
 	for (int i = 0; i < 3; i++)
@@ -345,9 +351,12 @@
 	EXPECT_LT(draw(2000)[1], 2000 / 10);
 }
 
-/* Guards against requests that wait, or are told "too late", where all targets
- * have as much as they take, and come back before there is room. */
-TEST_F(Place, WhereAllTargetsHaveLimitsTheRestIsRefusedUntilThereIsRoom)
+/*
+ * Guards against requests that wait or are refused as too late if all targets
+ * have reached their limits, and against callers that come back before the
+ * limits allow another request.
+ */
+TEST_F(Place, IfAllTargetsHaveLimitsTheExcessIsRefused)
 {
 	tr_placement p;
 
@@ -365,9 +374,11 @@
 	}
 }
 
-/* Guards against a floor that asks for requests at targets that refuse them:
- * what a target says of itself goes first. */
-TEST_F(Place, TheFloorAsksForNothingThatATargetHasRefused)
+/*
+ * Guards against a floor that sends requests to targets that refuse them: what
+ * a target says about itself takes precedence.
+ */
+TEST_F(Place, TheFloorRespectsWhatTargetsHaveRefused)
 {
 	std::map<uint32_t, int> counts;
 	tr_placement p;
@@ -406,9 +417,11 @@
 	EXPECT_EQ(draw(200)[1], 0);
 }
 
-/* Guards against a target that is asked again while it wants rest, and against
- * callers that are sent back before any target has rested. */
-TEST_F(Place, ATargetThatWantsRestGetsNothingUntilItHasRested)
+/*
+ * Guards against a target that gets requests during its requested pause, and
+ * against callers that are sent back before any pause has ended.
+ */
+TEST_F(Place, ATargetThatAsksForAPauseGetsNothingUntilItEnds)
 {
 	tr_placement p;
 
@@ -429,11 +442,11 @@
 }
 
 /*
- * Eight VMs that hear of each other's requests 50 ms late place work of 250 ms
- * at ten targets of three slots; 120 requests a second fill them. Counts what
- * callers get.
+ * Eight VMs, which receive each other's reports after 50 ms, send work of 250
+ * ms to ten targets with three slots; 120 requests a second are full load.
+ * Counts the outcomes for callers.
  */
-struct LoadPlay {
+struct LoadSimulation {
 	static constexpr int VMS = 8, TARGETS = 10, SLOTS = 3;
 	static constexpr apr_time_t STEP = TR_MSEC(10), WORK = TR_MSEC(250);
 	static constexpr apr_time_t AIM = TR_SEC(1), LIMIT = TR_SEC(2);
@@ -447,12 +460,12 @@
 	std::vector<std::vector<apr_time_t>> ends{ TARGETS };
 	std::vector<Running> running;
 	tr_random random{ 7 };
-	/* The first so many targets fail all that they get, at once. */
+	/* The first targets, by this number, fail all requests at once. */
 	int gray = 0;
 	int done = 0, failed = 0, refused = 0, beyond_aim = 0, beyond_limit = 0;
-	double owed = 0;
+	double due = 0;
 
-	LoadPlay()
+	LoadSimulation()
 	{
 		for (auto &view : views) {
 			view = {};
@@ -462,7 +475,7 @@
 		}
 	}
 
-	~LoadPlay()
+	~LoadSimulation()
 	{
 		for (auto &view : views)
 			tr_roster_release(&view);
@@ -496,7 +509,7 @@
 		}
 	}
 
-	void tell(apr_time_t now)
+	void exchange_reports(apr_time_t now)
 	{
 		for (int v = 0; v < VMS; v++) {
 			for (int t = 0; t < TARGETS; t++) {
@@ -539,7 +552,7 @@
 		beyond_limit += start + WORK > now + LIMIT;
 	}
 
-	void place(apr_time_t now)
+	void route_request(apr_time_t now)
 	{
 		int vm = (int)tr_random_below(&random, VMS);
 		tr_service_stats *svc = &views[vm].services[0];
@@ -567,45 +580,45 @@
 		for (apr_time_t now = from; now < to; now += STEP) {
 			end_work(now);
 			if (now % TR_MSEC(50) == 0)
-				tell(now);
-			for (owed += a_second * STEP / 1e6; owed >= 1;
-			     owed -= 1)
-				place(now);
+				exchange_reports(now);
+			for (due += a_second * STEP / 1e6; due >= 1; due -= 1)
+				route_request(now);
 		}
 	}
 };
 
 /*
- * Plays a load of twice the slots on the decision: 8 VMs that hear of each
- * other after 50 ms, 10 targets of 3 slots, 250 ms of work, 240 requests a
- * second. Slots must stay busy, and what is refused must be refused at once.
+ * Twice the full load: 8 VMs that receive reports after 50 ms, 10 targets with
+ * 3 slots, 250 ms of work, 240 requests a second. Slots must stay busy, and
+ * requests must be refused at once.
  */
 TEST(PlaceLoad, TwiceTheLoadKeepsSlotsBusyAndRefusesAtOnce)
 {
-	LoadPlay play;
+	LoadSimulation play;
 
 	play.run(240, TR_SEC(10), TR_SEC(30));
-	/* 30 slots at 250 ms do 120 a second: 2,400 in 20 s. */
+	/* 30 slots at 250 ms complete 120 a second: 2,400 in 20 s. */
 	EXPECT_GT(play.done, 2250);
 	EXPECT_GT(play.refused, 1500);
 	EXPECT_LT(play.beyond_limit, 100);
 }
 
 /*
- * Symptom: in a burst a third of what fails goes to targets that are known to
- * be gray, while well ones have a wait far inside the aim. Sequence: three of
- * ten targets are gray, for 2.5 s there is a third more work than the others
- * do. Cause: a wait cost from its first millisecond, and one beyond the aim was
- * taken for impossible, so that the gray ones, with no queue, came first.
+ * Guards against requests that are sent to known gray targets in a burst, a
+ * third of all failures, although sound targets have a wait well within the
+ * latency aim. Three of ten targets are gray, and for 2.5 s there is a third
+ * more work than the others can do. A wait had a cost from its first
+ * millisecond, and one beyond the aim counted as impossible, so that the gray
+ * targets, with no queue, were preferred.
  */
-TEST(PlaceLoad, ABurstWaitsAtWellTargetsRatherThanFailAtGrayOnes)
+TEST(PlaceLoad, ABurstWaitsAtSoundTargetsInsteadOfFailingAtGrayOnes)
 {
-	LoadPlay play;
+	LoadSimulation play;
 
 	play.gray = 3;
 	play.run(60, TR_SEC(10), TR_SEC(13));
 	EXPECT_EQ(play.failed, 0);
-	/* 21 slots at 250 ms do 84 a second. */
+	/* 21 slots at 250 ms complete 84 a second. */
 	play.run(112, TR_SEC(13), TR_MSEC(15500));
 	play.run(60, TR_MSEC(15500), TR_SEC(20));
 	EXPECT_EQ(play.refused, 0);
@@ -615,9 +628,10 @@
 }
 
 /*
- * Symptom: repeats grow while a service is failing and keep it down. Sequence:
- * every request at every VM wants a second target; VMs hear of each other's
- * after 80 ms. Cause: the bound is the fleet's, and each VM alone kept it.
+ * Guards against repeats that grow while a service is failing and keep it from
+ * recovering. Every request at every VM wants a second target, and VMs receive
+ * each other's reports after 80 ms. The bound applies to the fleet, but each VM
+ * alone kept to it.
  */
 TEST(Allowance, TheFleetKeepsItsBoundAndUsesIt)
 {
@@ -648,14 +662,13 @@
 	EXPECT_LE(repeats, 1000 * 0.2 + 56);
 }
 
-/* In a fleet that is split in two, both sides together keep the bound. */
 /*
- * Symptom: targets that shed their work get more repeats in ten seconds than
- * the operators allow. Sequence: the whole bound is spent at the end of a part
- * of the window; eight seconds later that part is taken out, and the bound is
- * spent anew. Cause: the window was kept in five parts, one of them not full.
+ * Guards against targets that shed load and get more repeats in ten seconds
+ * than operators allow. The whole bound was used at the end of one part of the
+ * window; eight seconds later that part was dropped and the bound was used
+ * again, as the window had five parts, one of them incomplete.
  */
-TEST(Allowance, NoSpanOfTheWindowHoldsMore)
+TEST(Allowance, NoSpanOfTheWindowsLengthExceedsTheBound)
 {
 	tr_repeat_bound bound = { 0, 50, TR_SEC(10), 1, 1 };
 	std::vector<apr_time_t> spent;
@@ -675,6 +688,9 @@
 	}
 }
 
+/*
+ * In a fleet that is split in two, both sides together keep within the bound.
+ */
 TEST(Allowance, ASplitFleetSharesTheSlack)
 {
 	tr_repeat_bound bound = { 0.2, 56, TR_SEC(10), 2, 2 };
--- a/tests/spread_test.cc
+++ b/tests/spread_test.cc
@@ -14,7 +14,7 @@
 {
 
 const unsigned CENTRES = 4;
-/* What the VMs of a large fleet have, in bits a second: most are thin. */
+/* Link speeds in a large fleet, in bits a second: most are slow. */
 const double LINKS[] = { 10e6, 10e6, 50e6, 200e6 };
 
 struct Copy {
@@ -22,7 +22,7 @@
 	apr_time_t done_at;
 };
 
-/* One VM of a fleet whose messages take effect after a delay. */
+/* One VM of a fleet whose reports arrive after a delay. */
 struct Vm {
 	tr_membership members{};
 	tr_spread spread{};
@@ -30,7 +30,7 @@
 	uint64_t held = 1;
 	apr_time_t held_at = 0;
 	bool down = false;
-	bool asking = false;
+	bool fetching = false;
 	Copy copy{};
 };
 
@@ -40,7 +40,7 @@
 	apr_time_t now = TR_SEC(100);
 	size_t copy_bytes;
 	uint64_t sent = 0;
-	unsigned turned_away = 0;
+	unsigned refused = 0;
 
 	Fleet(unsigned n, size_t bytes) : vms(n), copy_bytes(bytes)
 	{
@@ -68,8 +68,8 @@
 		return "dc-" + std::to_string(i % CENTRES);
 	}
 
-	/* Each VM hears of each other's revision of 75 ms ago. */
-	void tell()
+	/* Each VM learns the others' revisions after 75 ms. */
+	void exchange_reports()
 	{
 		for (unsigned i = 0; i < vms.size(); i++) {
 			for (unsigned k = 0; k < vms.size(); k++) {
@@ -88,49 +88,49 @@
 		}
 	}
 
-	void ask(Vm &vm)
+	void fetch(Vm &vm)
 	{
-		const tr_node *holder = tr_spread_choose_source(
+		const tr_node *source = tr_spread_choose_source(
 			&vm.spread, &vm.members, vm.held, 0, &random, now);
 
-		if (!holder)
+		if (!source)
 			return;
-		Vm &from = vms[holder->ip - 1];
+		Vm &from = vms[source->ip - 1];
 
 		if (from.down ||
 		    !tr_spread_link_reserve(&from.link, copy_bytes, now)) {
-			turned_away++;
-			tr_spread_failed(&vm.spread, holder->ip, &random, now);
+			refused++;
+			tr_spread_failed(&vm.spread, source->ip, &random, now);
 			return;
 		}
 		sent += copy_bytes;
-		vm.asking = true;
-		vm.copy = { holder->ip - 1,
+		vm.fetching = true;
+		vm.copy = { source->ip - 1,
 			    std::max(now, from.link.busy_until) + TR_MSEC(4) };
 	}
 
 	void step()
 	{
 		now += TR_MSEC(25);
-		tell();
+		exchange_reports();
 		for (Vm &vm : vms) {
 			if (vm.down)
 				continue;
-			if (vm.asking && now >= vm.copy.done_at) {
+			if (vm.fetching && now >= vm.copy.done_at) {
 				const Vm &from = vms[vm.copy.from];
 
-				vm.asking = false;
+				vm.fetching = false;
 				if (!from.down && from.held > vm.held) {
 					vm.held = from.held;
 					vm.held_at = now;
 				}
 			}
-			if (!vm.asking)
-				ask(vm);
+			if (!vm.fetching)
+				fetch(vm);
 		}
 	}
 
-	void put(unsigned i, uint64_t revision)
+	void publish(unsigned i, uint64_t revision)
 	{
 		vms[i].held = revision;
 		vms[i].held_at = now;
@@ -145,7 +145,7 @@
 		return n;
 	}
 
-	/* Milliseconds until all have it, or -1 after ten seconds. */
+	/* Milliseconds until all VMs have it, or -1 after ten seconds. */
 	long until_all(uint64_t revision)
 	{
 		for (apr_time_t t = 0; t < TR_SEC(10); t += TR_MSEC(25)) {
@@ -158,18 +158,18 @@
 };
 
 /*
- * Symptom: seconds after a configuration was accepted, two of 96 VMs have it,
- * and these lose the platform. Sequence: it grows by 1,512 routes; all others
- * ask the two readers at once, over links of 10 to 200 Mbit/s. Cause: every
- * copy came from the readers, shared their links, and was begun anew when its
- * time was over.
+ * Guards against a configuration that two of 96 VMs have seconds after it was
+ * accepted, while these two lose the platform. It had grown by 1,512 routes,
+ * and all other VMs requested it from the two readers at once, over links of 10
+ * to 200 Mbit/s. Every copy came from the readers, shared their links and was
+ * restarted when it timed out.
  */
-TEST(Spread, ALargeConfigurationReachesAThinFleetInTime)
+TEST(Spread, ALargeConfigurationReachesAFleetWithSlowLinksInTime)
 {
 	Fleet fleet(96, 20000);
 
-	fleet.put(0, 5);
-	fleet.put(1, 5);
+	fleet.publish(0, 5);
+	fleet.publish(1, 5);
 	long took = fleet.until_all(5);
 
 	EXPECT_GE(took, 0);
@@ -177,45 +177,45 @@
 	EXPECT_LE(fleet.sent, 96u * 20000);
 }
 
-/* Twice the VMs cost a round more, and each is sent one copy. */
+/* Twice the VMs need one more round, and each VM is sent one copy. */
 TEST(Spread, TheTimeGrowsByRoundsAndTheBytesByCopies)
 {
 	Fleet small(50, 20000);
 	Fleet large(200, 20000);
 
-	small.put(0, 5);
-	large.put(0, 5);
-	long took_small = small.until_all(5);
-	long took_large = large.until_all(5);
+	small.publish(0, 5);
+	large.publish(0, 5);
+	long small_ms = small.until_all(5);
+	long large_ms = large.until_all(5);
 
-	EXPECT_LE(took_large, took_small + 1000);
+	EXPECT_LE(large_ms, small_ms + 1000);
 	EXPECT_EQ(large.sent, 199u * 20000);
 }
 
 /*
- * Symptom: most VMs stay at the old configuration. Sequence: the only two VMs
- * that have the new one die when eight others have it. Cause: the others went
- * on asking those who had told them of it first.
+ * Guards against a fleet in which most VMs keep the old configuration. The only
+ * two VMs that had the new one died when eight others had it too, and the rest
+ * kept fetching the first two.
  */
-TEST(Spread, AnyHolderWillDoWhenTheFirstAreLost)
+TEST(Spread, OtherSourcesAreUsedWhenTheFirstAreLost)
 {
 	Fleet fleet(96, 20000);
 
-	fleet.put(0, 5);
-	fleet.put(1, 5);
+	fleet.publish(0, 5);
+	fleet.publish(1, 5);
 	while (fleet.holders(5) < 10)
 		fleet.step();
 	fleet.vms[0].down = fleet.vms[1].down = true;
 	EXPECT_GE(fleet.until_all(5), 0);
 }
 
-/* A second configuration on the heels of the first is what all end with. */
-TEST(Spread, TheNewestWinsInAStorm)
+/* After a quick succession of configurations all VMs have the last one. */
+TEST(Spread, TheNewestWinsInABurstOfChanges)
 {
 	Fleet fleet(96, 20000);
 
 	for (uint64_t revision = 2; revision < 30; revision++) {
-		fleet.put(revision % 2, revision);
+		fleet.publish(revision % 2, revision);
 		for (int i = 0; i < 4; i++)
 			fleet.step();
 	}
@@ -226,19 +226,18 @@
 }
 
 /*
- * Symptom: VMs handle requests by a configuration that three newer ones have
- * replaced, over three seconds after these were accepted. Sequence: 442 VMs, of
- * which one reads the platform; a new configuration every 60 ms; whenever one
- * is told of, all ask its reader. Cause: those that were turned away waited,
- * and by then there was a newer one.
+ * Guards against VMs that use a configuration for over three seconds after
+ * three newer ones replaced it. Of 442 VMs one reads the platform and there is
+ * a new configuration every 60 ms; whenever one was announced, all VMs asked
+ * the reader, and those that were refused waited until there was a newer one.
  */
-TEST(Spread, AStormReachesALargeFleetInTime)
+TEST(Spread, ABurstOfChangesReachesALargeFleetInTime)
 {
 	Fleet fleet(442, 5000);
 	std::vector<apr_time_t> put_at(100);
 
 	for (uint64_t revision = 2; revision < 70; revision++) {
-		fleet.put(0, revision);
+		fleet.publish(0, revision);
 		put_at[revision] = fleet.now;
 		for (int i = 0; i < 3; i++)
 			fleet.step();
@@ -254,13 +253,13 @@
 	EXPECT_LE(took, 1000);
 }
 
-TEST(Spread, NobodyAsksForWhatCouldNotBeRead)
+TEST(Spread, ARevisionThatCouldNotBeReadIsNotFetched)
 {
 	Fleet fleet(3, 100);
 
-	fleet.put(0, 5);
+	fleet.publish(0, 5);
 	fleet.now += TR_SEC(1);
-	fleet.tell();
+	fleet.exchange_reports();
 	for (int i = 0; i < 40; i++) {
 		fleet.now += TR_MSEC(25);
 		EXPECT_EQ(tr_spread_choose_source(&fleet.vms[1].spread,
@@ -270,30 +269,30 @@
 	}
 }
 
-TEST(Spread, AHolderOfTheOwnDataCentreIsAskedFirst)
+TEST(Spread, ASourceInTheOwnDataCentreIsPreferred)
 {
 	Fleet fleet(16, 100);
 
 	for (unsigned i = 0; i < 8; i++)
-		fleet.put(i, 5);
+		fleet.publish(i, 5);
 	fleet.now += TR_SEC(1);
-	fleet.tell();
+	fleet.exchange_reports();
 	Vm &vm = fleet.vms[12];
 
 	tr_spread_choose_source(&vm.spread, &vm.members, 1, 0, &fleet.random,
 				fleet.now);
 	fleet.now += TR_MSEC(100);
 	for (int i = 0; i < 50; i++) {
-		const tr_node *holder =
+		const tr_node *source =
 			tr_spread_choose_source(&vm.spread, &vm.members, 1, 0,
 						&fleet.random, fleet.now);
 
-		ASSERT_NE(holder, nullptr);
-		EXPECT_STREQ(holder->data_centre, "dc-0");
+		ASSERT_NE(source, nullptr);
+		EXPECT_STREQ(source->data_centre, "dc-0");
 	}
 }
 
-TEST(Spread, ALinkThatIsTakenTurnsAskersAway)
+TEST(Spread, ABusyLinkRefusesCopies)
 {
 	tr_spread_link link{};
 	apr_time_t now = TR_SEC(1);
@@ -315,7 +314,7 @@
 	return text;
 }
 
-TEST(Pack, ASeventhOfTheBytesAndTheSameText)
+TEST(Pack, PackedTextIsASeventhAndUnpacksUnchanged)
 {
 	std::string text = many_routes();
 	GBytes *packed = pack_bytes(text.data(), text.size());
@@ -331,8 +330,8 @@
 	g_bytes_unref(packed);
 }
 
-/* What is cut, longer than it said or changed is no text. */
-TEST(Pack, DamagedBytesAreNoText)
+/* Text that is truncated, longer than declared or changed is rejected. */
+TEST(Pack, DamagedBytesAreRejected)
 {
 	std::string text = many_routes();
 	GBytes *packed = pack_bytes(text.data(), text.size());
