--- a/tests/fatal_load_test.cc
+++ b/tests/fatal_load_test.cc
@@ -1,7 +1,7 @@
 /*
- * Requests that crash targets, against whole fleets on a virtual clock: VMs
- * that tell each other by messages of which some are lost, in groups that tell
- * one VM of each other group, as entry/mesh.c does.
+ * Requests that crash targets, for whole fleets on a virtual clock. VMs report
+ * to each other by messages of which some are lost, in groups that send to one
+ * VM of each other group, as entry/mesh.c does.
  */
 #include <algorithm>
 #include <gtest/gtest.h>
@@ -18,10 +18,13 @@
 
 constexpr uint64_t DEADLY = 7, POPULAR = 8;
 constexpr apr_time_t STEP = TR_MSEC(10);
-/* How the daemon paces what it tells. */
+/* How the daemon paces its reports. */
 constexpr apr_time_t PERIOD = TR_MSEC(650), SUMMARY = TR_MSEC(250);
 constexpr unsigned ROWS = 8, AGAIN = 2;
-/* When all must know of the third target, and what may be sent after. */
+/*
+ * Time until all VMs must know of the third target, and how many requests may
+ * be sent after it.
+ */
 constexpr apr_time_t BOUND = TR_SEC(3);
 constexpr unsigned MOST_AFTER_BOUND = 3;
 
@@ -29,7 +32,7 @@
 	unsigned vms = 44;
 	unsigned group = 44;
 	double loss = 0.1;
-	/* Requests a second, and how long a target has one until it ends. */
+	/* Requests a second, and how long a target runs one before it ends. */
 	double rate = 4;
 	apr_time_t takes = TR_MSEC(100);
 	unsigned seed = 1;
@@ -40,14 +43,14 @@
 	};
 	struct tr_random random {
 	};
-	apr_time_t told_at = 0;
+	apr_time_t reported_at = 0;
 	bool news = false;
 };
 
-/* How often one that waits for another is looked at. */
+/* How often a request that waits for another is checked. */
 constexpr apr_time_t WAIT_STEP = TR_MSEC(50);
 
-/* An attempt that will end its target; or one that waits, until ends. */
+/* An attempt that will end its target, or a request that waits until ends. */
 struct Running {
 	unsigned vm;
 	uint64_t identity;
@@ -76,20 +79,20 @@
 	{
 		for (apr_time_t end = now + span; now < end; now += STEP) {
 			if (chance(load.rate * (double)STEP / 1e6))
-				ask_any();
-			ask_again();
+				send_deadly();
+			retry_waiting();
 			end_due();
-			tell_due();
+			send_due_reports();
 		}
 	}
 
-	/* A caller sends the deadly request to one of the VMs. */
-	void ask_any()
+	/* A caller sends the deadly request to a random VM. */
+	void send_deadly()
 	{
-		ask(below((unsigned)vms.size()), DEADLY, true);
+		send_request(below((unsigned)vms.size()), DEADLY, true);
 	}
 
-	void ask(unsigned vm, uint64_t identity, bool may_repeat)
+	void send_request(unsigned vm, uint64_t identity, bool may_repeat)
 	{
 		Vm &v = vms[vm];
 
@@ -113,7 +116,7 @@
 				    now + load.takes, may_repeat });
 	}
 
-	/* All VMs end and know nothing; what they ran goes on to its end. */
+	/* All VMs restart without state and abandon what they ran. */
 	void restart_all()
 	{
 		for (Vm &vm : vms)
@@ -122,7 +125,7 @@
 		waiting.clear();
 	}
 
-	/* Targets end at this moment that all run the request. */
+	/* Several targets that run the request end at the same moment. */
 	void end_together(uint64_t identity, unsigned n)
 	{
 		for (unsigned i = 0; i < n; i++) {
@@ -143,7 +146,7 @@
 		vm.news = true;
 	}
 
-	unsigned that_refuse(uint64_t identity)
+	unsigned refusing_vms(uint64_t identity)
 	{
 		unsigned n = 0;
 
@@ -176,14 +179,14 @@
 		return std::uniform_real_distribution<>(0, 1)(random) < p;
 	}
 
-	void ask_again()
+	void retry_waiting()
 	{
 		std::vector<Running> all;
 
 		all.swap(waiting);
 		for (const Running &w : all)
 			if (w.ends <= now)
-				ask(w.vm, w.identity, w.may_repeat);
+				send_request(w.vm, w.identity, w.may_repeat);
 			else
 				waiting.push_back(w);
 	}
@@ -212,7 +215,7 @@
 				third_ended = now;
 			if (r.may_repeat &&
 			    tr_fatal_may_repeat(&vm.fatals, r.identity))
-				ask(r.vm, r.identity, false);
+				send_request(r.vm, r.identity, false);
 		}
 	}
 
@@ -226,17 +229,17 @@
 	}
 
 	void to_group(unsigned group, const struct tr_fatal *rows, unsigned n,
-		      unsigned but)
+		      unsigned except)
 	{
 		unsigned first = group * load.group;
 		unsigned last = std::min(first + load.group, load.vms);
 
 		for (unsigned i = first; i < last; i++)
-			if (i != but)
+			if (i != except)
 				deliver(i, rows, n);
 	}
 
-	/* One message of each other group's is handed on there, if it comes. */
+	/* If it arrives, one message to each other group is relayed there. */
 	void to_other_groups(unsigned from, const struct tr_fatal *rows,
 			     unsigned n)
 	{
@@ -245,24 +248,27 @@
 				to_group(g, rows, n, load.vms);
 	}
 
-	void tell_due()
+	void send_due_reports()
 	{
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
 			struct tr_fatal rows[ROWS];
 			unsigned news, n;
 
-			if (!vm.news && now - vm.told_at < PERIOD)
+			if (!vm.news && now - vm.reported_at < PERIOD)
 				continue;
 			vm.news = false;
-			vm.told_at = now;
+			vm.reported_at = now;
 			news = tr_fatal_collect_changed(&vm.fatals, rows, ROWS,
 							now);
 			n = news + tr_fatal_collect_recent(
 					   &vm.fatals, &rows[news],
 					   std::min(ROWS - news, AGAIN), now);
 			to_group(i / load.group, rows, n, i);
-			/* Changes at once, the rest in the group's turn. */
+			/*
+			 * Changes are sent at once, the rest when the group's
+			 * turn comes.
+			 */
 			if (news || chance((double)PERIOD / (double)SUMMARY /
 					   load.group))
 				to_other_groups(i, rows, n);
@@ -288,36 +294,36 @@
 	EXPECT_GT(fleet.refused, 10u) << what << " seed " << load.seed;
 }
 
-TEST(FatalLoad, ASmallFleetSendsItNoMore)
+TEST(FatalLoad, ASmallFleetStopsSendingIt)
 {
 	for (unsigned seed = 1; seed <= 40; seed++)
 		expect_bound({ 44, 44, 0.1, 4, TR_MSEC(100), seed }, "44 VMs,");
 }
 
-TEST(FatalLoad, AFleetOfTwo)
+TEST(FatalLoad, AFleetOfTwoStopsSendingIt)
 {
 	for (unsigned seed = 1; seed <= 40; seed++)
 		expect_bound({ 2, 2, 0.1, 4, TR_MSEC(100), seed }, "2 VMs,");
 }
 
-/* Where it waits for a slot for long before it ends the target. */
-TEST(FatalLoad, WhereItWaitsInQueues)
+/* The request waits long for a slot before it ends the target. */
+TEST(FatalLoad, AFleetStopsSendingItIfItWaitsInQueues)
 {
 	for (unsigned seed = 1; seed <= 40; seed++)
 		expect_bound({ 44, 44, 0.1, 6, TR_MSEC(1400), seed },
 			     "in queues,");
 }
 
-/* Groups hear of each other through one VM each, over bad links. */
-TEST(FatalLoad, ALargeFleetInGroups)
+/* Groups report to each other through one VM each, over bad links. */
+TEST(FatalLoad, ALargeFleetInGroupsStopsSendingIt)
 {
 	for (unsigned seed = 1; seed <= 4; seed++)
 		expect_bound({ 442, 37, 0.2, 8, TR_MSEC(100), seed },
 			     "442 VMs,");
 }
 
-/* Seldom enough that each VM meets it anew. */
-TEST(FatalLoad, WhereItComesSeldom)
+/* Seldom enough that the request is new to each VM. */
+TEST(FatalLoad, AFleetStopsSendingItIfItIsRare)
 {
 	for (unsigned seed = 1; seed <= 40; seed++) {
 		Fleet fleet({ 44, 44, 0.1, 0.4, TR_MSEC(100), seed });
@@ -331,8 +337,11 @@
 	}
 }
 
-/* All VMs lose their power and know nothing: three targets teach them again. */
-TEST(FatalLoad, AfterARestartOfAllItIsLearnedAgain)
+/*
+ * All VMs lose power and their state: three targets are needed to learn it
+ * again.
+ */
+TEST(FatalLoad, ItIsLearnedAgainAfterARestartOfAllVms)
 {
 	for (unsigned seed = 1; seed <= 40; seed++) {
 		Fleet fleet({ 44, 44, 0.1, 4, TR_MSEC(100), seed });
@@ -347,22 +356,22 @@
 	}
 }
 
-/* The same where it comes so seldom that the three are all that is allowed. */
-TEST(FatalLoad, LearningItAgainStaysWithinWhatIsAllowed)
+/* The same if the request is so rare that three are all that is allowed. */
+TEST(FatalLoad, LearningItAgainStaysWithinTheBound)
 {
 	for (unsigned seed = 1; seed <= 40; seed++) {
 		Fleet fleet({ 44, 44, 0.1, 0, TR_MSEC(100), seed });
 		apr_time_t third;
 
 		for (int i = 0; i < 10; i++) {
-			fleet.ask_any();
+			fleet.send_deadly();
 			fleet.play(TR_SEC(2));
 		}
 		third = fleet.third_ended;
 		ASSERT_GT(third, 0);
 		fleet.restart_all();
 		for (int i = 0; i < 10; i++) {
-			fleet.ask_any();
+			fleet.send_deadly();
 			fleet.play(TR_SEC(2));
 		}
 		EXPECT_LE(fleet.sent_since(third + BOUND), MOST_AFTER_BOUND)
@@ -371,9 +380,9 @@
 }
 
 /*
- * A read that many ask for while targets end for other reasons, a third of a
- * service at a time and again after a while: it is refused nowhere, since it is
- * answered in between.
+ * A popular read, while targets end for other reasons, up to a third of a
+ * service at a time and repeatedly. No VM refuses it, since it is answered in
+ * between.
  */
 TEST(FatalLoad, APopularReadIsNotRefusedForOutages)
 {
@@ -385,7 +394,7 @@
 			fleet.play(TR_MSEC(50 + fleet.below(300)));
 			fleet.answered(POPULAR);
 			fleet.play(TR_MSEC(300 + fleet.below(2000)));
-			EXPECT_EQ(fleet.that_refuse(POPULAR), 0u) << seed;
+			EXPECT_EQ(fleet.refusing_vms(POPULAR), 0u) << seed;
 		}
 	}
 }
--- a/tests/fatal_test.cc
+++ b/tests/fatal_test.cc
@@ -10,8 +10,8 @@
 
 constexpr uint64_t DEADLY = 7, HARMLESS = 8;
 
-/* What one VM knows, and a clock. */
-struct Knower {
+/* The state of one VM, and a clock. */
+struct TestVm {
 	struct tr_fatals fatals {
 	};
 	struct tr_random random {
@@ -19,12 +19,15 @@
 	};
 	apr_time_t now = TR_SEC(1000);
 
-	~Knower()
+	~TestVm()
 	{
 		tr_fatal_release(&fatals);
 	}
 
-	/* The target ended just now, sent when so many ends were known. */
+	/*
+	 * The target ended just now. The request was sent when this many ends
+	 * were known.
+	 */
 	enum tr_fatal_change ended_when(unsigned known, uint32_t target,
 					uint64_t identity = DEADLY)
 	{
@@ -33,7 +36,7 @@
 		return tr_fatal_ended(&fatals, identity, &end, &random, now);
 	}
 
-	/* The same, sent a moment ago. */
+	/* The same for a request sent a moment ago. */
 	enum tr_fatal_change ended(uint32_t target, uint64_t identity = DEADLY)
 	{
 		return ended_when(tr_fatal_count_ends(&fatals, identity),
@@ -45,7 +48,7 @@
 		return tr_fatal_admit(&fatals, identity, &random, now);
 	}
 
-	void end_three(uint64_t identity = DEADLY)
+	void end_three_targets(uint64_t identity = DEADLY)
 	{
 		for (uint32_t target = 1; target <= 3; target++) {
 			now += TR_SEC(1);
@@ -53,8 +56,8 @@
 		}
 	}
 
-	/* Tells all that it would tell in one message. */
-	void tell(Knower *to)
+	/* Delivers everything that one message would contain. */
+	void send_reports(TestVm *to)
 	{
 		struct tr_fatal rows[16];
 		unsigned n = tr_fatal_collect_changed(&fatals, rows, 8, now);
@@ -67,17 +70,17 @@
 	}
 };
 
-TEST(Fatal, WhatEndedNothingPasses)
+TEST(Fatal, ARequestWithoutEndsPasses)
 {
-	Knower vm;
+	TestVm vm;
 
 	EXPECT_EQ(vm.admit(), TR_FATAL_PASS);
 	EXPECT_TRUE(tr_fatal_may_repeat(&vm.fatals, DEADLY));
 }
 
-TEST(Fatal, ThreeTargetsOneAfterTheOtherAreEnough)
+TEST(Fatal, ThreeSuccessiveEndsAreEnough)
 {
-	Knower vm;
+	TestVm vm;
 
 	EXPECT_EQ(vm.ended(1), TR_FATAL_SAME);
 	EXPECT_TRUE(tr_fatal_may_repeat(&vm.fatals, DEADLY));
@@ -92,21 +95,21 @@
 }
 
 /*
- * Symptom: more targets end than need to. Sequence: a suspect waits a second
- * for a slot at a busy target; meanwhile others come and are sent too. Cause:
- * each was sent before the last one's end was known.
+ * Guards against more targets ending than necessary. A suspect waits a second
+ * for a slot at a busy target, and meanwhile others arrive and are sent too,
+ * each before the previous one's end is known.
  */
-TEST(Fatal, OfASuspectOneIsSentAtATime)
+TEST(Fatal, ASuspectIsSentOneAtATime)
 {
-	Knower vm, other;
+	TestVm vm, other;
 
 	vm.ended(1);
 	vm.ended(2);
 	EXPECT_EQ(vm.admit(), TR_FATAL_TRY);
 	EXPECT_EQ(vm.admit(), TR_FATAL_WAIT);
-	vm.tell(&other);
+	vm.send_reports(&other);
 	EXPECT_EQ(other.admit(), TR_FATAL_WAIT);
-	/* Its answer sets all others free; without one the next may go. */
+	/* An answer releases all others; without one the next may go. */
 	other.now += TR_MSEC(1100);
 	EXPECT_EQ(other.admit(), TR_FATAL_TRY);
 	vm.now += TR_MSEC(300);
@@ -115,10 +118,10 @@
 	EXPECT_EQ(vm.admit(), TR_FATAL_PASS);
 }
 
-/* Several callers' at once, and what one of them repeated. */
-TEST(Fatal, TwoAtOnceAndARepeatAreEnough)
+/* Two callers' requests at once, and a repeat of one of them. */
+TEST(Fatal, TwoEndsAtOnceAndARepeatAreEnough)
 {
-	Knower vm;
+	TestVm vm;
 
 	vm.ended_when(0, 1);
 	EXPECT_EQ(vm.ended_when(0, 2), TR_FATAL_SAME);
@@ -126,13 +129,13 @@
 }
 
 /*
- * Symptom: a read that many ask for is refused though it harms nothing.
- * Sequence: a data centre loses its power while six of its targets run the
- * read. Cause: six targets that end at one moment were taken for six proofs.
+ * Guards against a popular read that is refused though it is harmless. A data
+ * centre lost power while six of its targets ran the read, and six targets that
+ * ended at one moment were taken for six pieces of evidence.
  */
-TEST(Fatal, TargetsThatEndTogetherProveNothing)
+TEST(Fatal, TargetsThatEndTogetherAreNoEvidence)
 {
-	Knower vm;
+	TestVm vm;
 
 	for (uint32_t target = 1; target <= 9; target++) {
 		EXPECT_EQ(vm.ended_when(0, target), TR_FATAL_SAME);
@@ -143,7 +146,7 @@
 
 TEST(Fatal, ATargetCountsOnce)
 {
-	Knower vm;
+	TestVm vm;
 
 	for (int i = 0; i < 5; i++) {
 		vm.ended(1);
@@ -152,9 +155,9 @@
 	EXPECT_EQ(vm.admit(), TR_FATAL_PASS);
 }
 
-TEST(Fatal, AnAnswerVoidsWhatCameBefore)
+TEST(Fatal, AnAnswerVoidsEarlierEnds)
 {
-	Knower vm;
+	TestVm vm;
 
 	vm.ended(1);
 	vm.now += TR_SEC(1);
@@ -167,16 +170,16 @@
 }
 
 /*
- * Symptom: a harmless request is refused. Sequence: it stood beside a deadly
- * one at three targets, in a service that had few left. Cause: each end counted
- * against all that the target had in flight, though one was known to end
- * targets.
+ * Guards against a harmless request that is refused because it ran beside a
+ * deadly one at three targets, in a service with few targets left. Each end
+ * counted against everything that the target had in flight, though one of the
+ * requests was already known to end targets.
  */
-TEST(Fatal, WhoStoodBesideIsNotRefused)
+TEST(Fatal, ARequestThatRanBesideADeadlyOneIsNotRefused)
 {
-	Knower vm;
+	TestVm vm;
 
-	vm.end_three();
+	vm.end_three_targets();
 	for (uint32_t target = 4; target <= 6; target++) {
 		vm.now += TR_SEC(1);
 		vm.ended(target);
@@ -186,100 +189,100 @@
 	EXPECT_EQ(vm.admit(), TR_FATAL_REFUSE);
 }
 
-TEST(Fatal, ItIsTriedAgainLaterAndLater)
+TEST(Fatal, TheIntervalBetweenTriesGrows)
 {
-	Knower vm;
+	TestVm vm;
 	apr_time_t last;
-	apr_time_t gap = 0;
+	apr_time_t backoff = 0;
 
-	vm.end_three();
+	vm.end_three_targets();
 	last = vm.now;
 	for (int tries = 0; tries < 4; tries++) {
 		while (vm.admit() == TR_FATAL_REFUSE)
 			vm.now += TR_MSEC(100);
 		EXPECT_GE(vm.now - last, TR_SEC(60) << tries);
-		EXPECT_GT(vm.now - last, gap);
-		gap = vm.now - last;
+		EXPECT_GT(vm.now - last, backoff);
+		backoff = vm.now - last;
 		last = vm.now;
 		vm.ended(100 + (uint32_t)tries);
 		EXPECT_EQ(vm.admit(), TR_FATAL_REFUSE);
 	}
 }
 
-TEST(Fatal, ATryThatIsAnsweredEndsIt)
+TEST(Fatal, AnAnsweredTryEndsTheRefusal)
 {
-	Knower vm, other;
+	TestVm vm, other;
 
-	vm.end_three();
+	vm.end_three_targets();
 	other.now = vm.now;
-	vm.tell(&other);
+	vm.send_reports(&other);
 	ASSERT_EQ(other.admit(), TR_FATAL_REFUSE);
 	vm.now += TR_SEC(80);
 	other.now = vm.now;
 	ASSERT_EQ(vm.admit(), TR_FATAL_TRY);
 	EXPECT_EQ(tr_fatal_answered(&vm.fatals, DEADLY, vm.now),
 		  TR_FATAL_SERVED);
-	vm.tell(&other);
+	vm.send_reports(&other);
 	EXPECT_EQ(other.admit(), TR_FATAL_PASS);
-	/* What it still tells of the targets is void there and here. */
-	other.tell(&vm);
+	/* What it still reports of the ends is void on both sides. */
+	other.send_reports(&vm);
 	EXPECT_EQ(vm.admit(), TR_FATAL_PASS);
 }
 
 TEST(Fatal, OneVmTriesForAll)
 {
-	Knower vm, other;
+	TestVm vm, other;
 
-	vm.end_three();
+	vm.end_three_targets();
 	other.now = vm.now;
-	vm.tell(&other);
+	vm.send_reports(&other);
 	vm.now += TR_SEC(80);
 	other.now = vm.now;
 	ASSERT_EQ(vm.admit(), TR_FATAL_TRY);
-	vm.tell(&other);
+	vm.send_reports(&other);
 	EXPECT_EQ(other.admit(), TR_FATAL_REFUSE);
 }
 
-/* The third target to end is the third VM's first. */
-TEST(Fatal, VmsAddUpWhatTheySaw)
+/* The third target to end is the first one for the third VM. */
+TEST(Fatal, VmsCombineTheirEvidence)
 {
-	Knower vms[3];
+	TestVm vms[3];
 
 	for (uint32_t i = 0; i < 3; i++) {
-		for (Knower &vm : vms)
+		for (TestVm &vm : vms)
 			vm.now = TR_SEC(1000 + i);
 		vms[i].ended(1 + i);
-		for (Knower &to : vms)
+		for (TestVm &to : vms)
 			if (&to != &vms[i])
-				vms[i].tell(&to);
+				vms[i].send_reports(&to);
 	}
-	for (Knower &vm : vms)
+	for (TestVm &vm : vms)
 		EXPECT_EQ(vm.admit(), TR_FATAL_REFUSE);
 }
 
-/* The first telling was lost, or the VM started later. */
-TEST(Fatal, WhatIsRefusedIsToldAgain)
+/* The first report was lost, or the VM started later. */
+TEST(Fatal, ARefusalIsReportedAgain)
 {
-	Knower vm, lost, late;
+	TestVm vm, lost, late;
 
-	vm.end_three();
-	vm.tell(&lost);
+	vm.end_three_targets();
+	vm.send_reports(&lost);
 	vm.now += TR_SEC(30);
 	late.now = vm.now;
-	vm.tell(&late);
+	vm.send_reports(&late);
 	EXPECT_EQ(late.admit(), TR_FATAL_REFUSE);
 }
 
 /*
- * Symptom: a request that ends targets is sent on again. Sequence: somebody
- * sends requests with ever new bodies, under which targets end. Cause: the
- * table is bounded, and the newest took the place of the one that mattered.
+ * Guards against a request that ends targets and is sent again. Someone sends
+ * requests with ever new bodies under which targets end, and in the bounded
+ * table the newest replaced the row that mattered.
  */
-TEST(Fatal, AFloodOfNewBodiesPushesOutNothingThatIsRefused)
+TEST(Fatal, AFloodOfNewBodiesEvictsNoRefusedRequest)
 {
-	Knower vm;
+	TestVm vm;
 
-	vm.end_three();
+	vm.end_three_targets();
 	for (uint32_t i = 0; i < 4 * TR_FATAL_ROWS_MAX; i++) {
 		vm.now += TR_MSEC(10);
 		vm.ended(100 + i, 1000 + i);
@@ -288,12 +291,12 @@
 	EXPECT_EQ(vm.admit(), TR_FATAL_REFUSE);
 }
 
-TEST(Fatal, WhatNobodySendsAnyMoreIsForgotten)
+TEST(Fatal, ARequestThatIsNoLongerSentExpires)
 {
 	struct tr_fatal rows[8];
-	Knower vm;
+	TestVm vm;
 
-	vm.end_three();
+	vm.end_three_targets();
 	vm.ended(9, HARMLESS);
 	vm.now += TR_SEC(601);
 	tr_fatal_collect_changed(&vm.fatals, rows, 8, vm.now);
--- a/tests/identity_test.cc
+++ b/tests/identity_test.cc
@@ -41,13 +41,13 @@
 	EXPECT_EQ(all.count(0), 0u);
 }
 
-TEST(Identity, WhereAPartEndsMatters)
+TEST(Identity, TheBoundaryBetweenPartsMatters)
 {
 	EXPECT_NE(identity("GET", "h.x", "/a/b", "", ""),
 		  identity("GET", "h.x/a", "/b", "", ""));
 }
 
-TEST(Identity, IsAnothersInAnotherFleet)
+TEST(Identity, DiffersBetweenFleets)
 {
 	const struct tr_request_parts parts = { "GET",	 "h.x",	  "/",
 						nullptr, nullptr, 0 };
--- a/tests/organisation_test.cc
+++ b/tests/organisation_test.cc
@@ -29,7 +29,7 @@
 		tr_organisations_free(all);
 	}
 
-	std::string holder(const char *key)
+	std::string organisation_of(const char *key)
 	{
 		const tr_organisation *o = tr_organisations_find(all, key);
 
@@ -37,31 +37,33 @@
 	}
 };
 
-TEST_F(Organisations, AKeyNamesItsHolder)
+TEST_F(Organisations, AKeyIdentifiesItsOrganisation)
 {
 	ASSERT_EQ(tr_organisations_finalize(all, &err), 0);
-	EXPECT_EQ(holder("ftimaj3nr26tta828m82"), "umuganda-coop");
-	EXPECT_EQ(holder("thhkmgjqnirth5mgjy5r"), "umuganda-coop");
-	EXPECT_EQ(holder("q7"), "agent-22");
+	EXPECT_EQ(organisation_of("ftimaj3nr26tta828m82"), "umuganda-coop");
+	EXPECT_EQ(organisation_of("thhkmgjqnirth5mgjy5r"), "umuganda-coop");
+	EXPECT_EQ(organisation_of("q7"), "agent-22");
 }
 
-/* No part of a key, no other case and no longer text is the key. */
-TEST_F(Organisations, WhatIsNearlyAKeyIsNone)
+/* No prefix of a key, no other case and no longer text matches the key. */
+TEST_F(Organisations, ASimilarKeyIsUnknown)
 {
 	const std::string key = "ftimaj3nr26tta828m82";
 
 	ASSERT_EQ(tr_organisations_finalize(all, &err), 0);
 	for (size_t n = 0; n < key.size(); n++)
-		EXPECT_EQ(holder(key.substr(0, n).c_str()), "") << n;
-	EXPECT_EQ(holder("FTIMAJ3NR26TTA828M82"), "");
-	EXPECT_EQ(holder((key + " ").c_str()), "");
-	EXPECT_EQ(holder(std::string(60000, 'q').c_str()), "");
-	EXPECT_EQ(holder(nullptr), "");
+		EXPECT_EQ(organisation_of(key.substr(0, n).c_str()), "") << n;
+	EXPECT_EQ(organisation_of("FTIMAJ3NR26TTA828M82"), "");
+	EXPECT_EQ(organisation_of((key + " ").c_str()), "");
+	EXPECT_EQ(organisation_of(std::string(60000, 'q').c_str()), "");
+	EXPECT_EQ(organisation_of(nullptr), "");
 }
 
-/* Kept is a digest, under another secret each time: no key stands in memory
- * that is written out. */
-TEST_F(Organisations, KeysAreNotKept)
+/*
+ * Only a digest is stored, with a different secret each time, so that memory
+ * that is written out contains no key.
+ */
+TEST_F(Organisations, KeysAreNotStored)
 {
 	tr_organisations *again = tr_organisations_new(1);
 
@@ -73,7 +75,7 @@
 }
 
 /* The error names the organisation and never the key. */
-TEST_F(Organisations, AKeyThatTwoHoldIsRefused)
+TEST_F(Organisations, AKeyOfTwoOrganisationsIsRefused)
 {
 	tr_organisations_add_key(all, "ftimaj3nr26tta828m82", 1);
 	EXPECT_EQ(tr_organisations_finalize(all, &err), -1);
@@ -89,7 +91,7 @@
 	EXPECT_STREQ(err.field, "name");
 }
 
-/* A name goes into a header: one that would end it could add another. */
+/* The name is sent in a header: a line break in it could add another header. */
 TEST_F(Organisations, ANameThatWouldEndAHeaderIsRefused)
 {
 	free(all->rows[1].name);
@@ -105,7 +107,7 @@
 	EXPECT_STREQ(err.value, "agent-22");
 }
 
-TEST(NoOrganisations, KnowNoKey)
+TEST(NoOrganisations, HaveNoKeys)
 {
 	tr_organisations *none = tr_organisations_new(0);
 	tr_error err{};
--- a/tests/proof_test.cc
+++ b/tests/proof_test.cc
@@ -29,7 +29,7 @@
 		tr_membership_release(&m);
 	}
 
-	void hear(uint32_t ip, const char *centre, apr_time_t proof_age)
+	void receive(uint32_t ip, const char *centre, apr_time_t proof_age)
 	{
 		static uint64_t sequence;
 		tr_node_status news{};
@@ -44,73 +44,73 @@
 		tr_membership_receive(&m, &news, now, &restarted);
 	}
 
-	const tr_node *ask()
+	const tr_node *start_query()
 	{
 		return tr_proof_query(&p, &m, BOUND, &random, now);
 	}
 };
 
-TEST_F(Proof, WithoutAnyNothingHolds)
+TEST_F(Proof, DoesNotHoldInitially)
 {
 	EXPECT_FALSE(tr_proof_holds(&p, BOUND, now));
-	EXPECT_EQ(ask(), nullptr);
+	EXPECT_EQ(start_query(), nullptr);
 }
 
-TEST_F(Proof, EndsBeforeTheBound)
+TEST_F(Proof, ExpiresBeforeTheBound)
 {
 	tr_proof_renew(&p, now);
 	EXPECT_TRUE(tr_proof_holds(&p, BOUND, now + TR_MSEC(4700)));
 	EXPECT_FALSE(tr_proof_holds(&p, BOUND, now + TR_MSEC(4900)));
 }
 
-TEST_F(Proof, NeverGrowsOlder)
+TEST_F(Proof, ARenewalNeverMakesItOlder)
 {
 	tr_proof_renew(&p, now);
 	tr_proof_renew(&p, now - TR_SEC(2));
 	EXPECT_EQ(tr_proof_age(&p, now), 0);
 }
 
-TEST_F(Proof, OneOfTheOwnDataCentreIsAskedFirst)
+TEST_F(Proof, AVmInTheOwnDataCentreIsPreferred)
 {
-	hear(2, "dc-2", 0);
-	hear(3, "dc-1", TR_MSEC(300));
-	ASSERT_NE(ask(), nullptr);
+	receive(2, "dc-2", 0);
+	receive(3, "dc-1", TR_MSEC(300));
+	ASSERT_NE(start_query(), nullptr);
 	EXPECT_EQ(p.queried_ip, 3u);
 }
 
-TEST_F(Proof, NobodyIsAskedWhoseProofIsHardlyYounger)
+TEST_F(Proof, AVmWithAHardlyNewerProofIsNotQueried)
 {
 	tr_proof_renew(&p, now - TR_SEC(2));
-	hear(2, "dc-1", TR_MSEC(1900));
-	EXPECT_EQ(ask(), nullptr);
-	hear(3, "dc-1", TR_MSEC(200));
-	ASSERT_NE(ask(), nullptr);
+	receive(2, "dc-1", TR_MSEC(1900));
+	EXPECT_EQ(start_query(), nullptr);
+	receive(3, "dc-1", TR_MSEC(200));
+	ASSERT_NE(start_query(), nullptr);
 	EXPECT_EQ(p.queried_ip, 3u);
 }
 
-/* The answer may be lost: another VM is asked. */
-TEST_F(Proof, AQuestionThatIsNotAnsweredIsAskedElsewhere)
+/* The reply may be lost: another VM is queried. */
+TEST_F(Proof, AQueryWithoutReplyGoesToAnotherVm)
 {
-	hear(2, "dc-1", 0);
-	hear(3, "dc-1", 0);
-	ASSERT_NE(ask(), nullptr);
+	receive(2, "dc-1", 0);
+	receive(3, "dc-1", 0);
+	ASSERT_NE(start_query(), nullptr);
 	uint32_t first = p.queried_ip;
 
-	EXPECT_EQ(ask(), nullptr);
+	EXPECT_EQ(start_query(), nullptr);
 	now += TR_MSEC(120);
-	ASSERT_NE(ask(), nullptr);
+	ASSERT_NE(start_query(), nullptr);
 	EXPECT_NE(p.queried_ip, first);
 }
 
 /*
- * Symptom: a key that was taken away is used for longer than operators allow.
- * Sequence: the process is paused with an answer in its socket, and wakes up
- * seconds later. Cause: the age that the answer told was taken for its age now.
+ * Guards against a revoked key that is accepted for longer than operators
+ * allow. The process is suspended with a reply in its socket and resumes
+ * seconds later; the age in the reply was taken for the age now.
  */
-TEST_F(Proof, AnAnswerThatLayInTheSocketProvesLittle)
+TEST_F(Proof, ADelayedReplyGivesAnOlderProof)
 {
-	hear(2, "dc-1", 0);
-	ASSERT_NE(ask(), nullptr);
+	receive(2, "dc-1", 0);
+	ASSERT_NE(start_query(), nullptr);
 	uint64_t question = p.question;
 
 	now += TR_SEC(4);
@@ -118,22 +118,22 @@
 	EXPECT_EQ(tr_proof_age(&p, now), TR_MSEC(4500));
 }
 
-TEST_F(Proof, AnAnswerToNoQuestionProvesNothing)
+TEST_F(Proof, AReplyWithoutAQueryIsIgnored)
 {
-	hear(2, "dc-1", 0);
-	ASSERT_NE(ask(), nullptr);
+	receive(2, "dc-1", 0);
+	ASSERT_NE(start_query(), nullptr);
 	tr_proof_reply(&p, p.question + 2, 0);
 	tr_proof_reply(&p, 0, 0);
 	EXPECT_FALSE(tr_proof_holds(&p, BOUND, now));
 }
 
 /*
- * A fleet of which some VMs read a store, the others ask them or each other.
- * Messages take up to three seconds, some are lost, VMs stand still for
- * seconds, and the store is away at times. Configurations are accepted all the
- * while.
+ * A fleet in which some VMs read a store and the others query them or each
+ * other. Messages take up to three seconds, some are lost, VMs are suspended
+ * for seconds, and the store is unavailable at times. Configurations are
+ * accepted throughout.
  */
-struct World {
+struct Simulation {
 	struct Message {
 		apr_time_t at;
 		unsigned to, from;
@@ -152,14 +152,14 @@
 
 	std::mt19937 gen;
 	std::vector<Vm> vms;
-	std::vector<Message> way;
+	std::vector<Message> in_transit;
 	std::vector<apr_time_t> accepted{ 0 };
 	apr_time_t now = TR_SEC(10);
-	bool believes_one_way;
+	bool accepts_one_way;
 	unsigned proven = 0, broken = 0;
 
-	World(unsigned seed, bool one_way)
-	    : gen(seed), vms(12), believes_one_way(one_way)
+	Simulation(unsigned seed, bool one_way)
+	    : gen(seed), vms(12), accepts_one_way(one_way)
 	{
 	}
 
@@ -168,7 +168,7 @@
 		return (unsigned)(gen() % n);
 	}
 
-	/* The newest configuration at a time, by its place. */
+	/* The index of the newest configuration at a time. */
 	uint64_t newest_at(apr_time_t at) const
 	{
 		uint64_t n = 0;
@@ -186,17 +186,20 @@
 					     : TR_MSEC(below(3000));
 
 		if (below(10))
-			way.push_back({ now + takes, to, from, question,
-					answers, vm.revision,
-					tr_proof_age(&vm.proof, now),
-					vm.proof.at != 0 });
+			in_transit.push_back({ now + takes, to, from, question,
+					       answers, vm.revision,
+					       tr_proof_age(&vm.proof, now),
+					       vm.proof.at != 0 });
 	}
 
-	void take(unsigned i, const Message &msg)
+	void handle(unsigned i, const Message &msg)
 	{
 		Vm &vm = vms[i];
 
-		/* What is newer comes with it, as if it had been fetched. */
+		/*
+		 * A newer configuration comes with the message, as if it had
+		 * been fetched.
+		 */
 		if (msg.revision > vm.revision && below(2))
 			vm.revision = msg.revision;
 		if (msg.question)
@@ -205,7 +208,7 @@
 			return;
 		if (msg.answers)
 			tr_proof_reply(&vm.proof, msg.answers, msg.age);
-		else if (believes_one_way)
+		else if (accepts_one_way)
 			tr_proof_renew(&vm.proof, now - msg.age);
 	}
 
@@ -228,7 +231,7 @@
 		}
 	}
 
-	void ask(unsigned i)
+	void start_query(unsigned i)
 	{
 		Vm &vm = vms[i];
 
@@ -240,7 +243,7 @@
 		send(i, below((unsigned)vms.size()), vm.proof.question, 0);
 	}
 
-	/* What the VM believes is held against what was accepted. */
+	/* Compares what the VM has proven with what was accepted. */
 	void check(const Vm &vm)
 	{
 		if (!tr_proof_holds(&vm.proof, BOUND, now))
@@ -256,12 +259,12 @@
 		now += TR_MSEC(5);
 		if (!below(400))
 			accepted.push_back(now);
-		for (size_t k = 0; k < way.size(); k++) {
-			if (way[k].at > now)
+		for (size_t k = 0; k < in_transit.size(); k++) {
+			if (in_transit[k].at > now)
 				continue;
-			vms[way[k].to].in.push_back(way[k]);
-			way[k--] = way.back();
-			way.pop_back();
+			vms[in_transit[k].to].in.push_back(in_transit[k]);
+			in_transit[k--] = in_transit.back();
+			in_transit.pop_back();
 		}
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
@@ -270,28 +273,30 @@
 				continue;
 			if (!below(4000))
 				vm.stopped_until = now + TR_MSEC(below(8000));
-			/* A request that comes first after a pause is judged
-			 * by what the VM believed before it. */
+			/*
+			 * A request that is handled first after a suspension is
+			 * decided by the VM's state before it.
+			 */
 			check(vm);
 			while (!vm.in.empty()) {
-				take(i, vm.in.front());
+				handle(i, vm.in.front());
 				vm.in.pop_front();
 			}
 			check(vm);
 			if (i < 2 && !store_away)
 				read_store(i);
 			else if (i >= 2)
-				ask(i);
+				start_query(i);
 			if (!below(50))
 				send(i, below((unsigned)vms.size()), 0, 0);
 		}
 	}
 };
 
-TEST(ProofProperty, NoVmTrustsAConfigurationThatWasReplacedLongerAgo)
+TEST(ProofProperty, NoProofHoldsLongerThanTheBound)
 {
 	for (unsigned seed = 1; seed <= 12; seed++) {
-		World w(seed, false);
+		Simulation w(seed, false);
 
 		for (int i = 0; i < 12000; i++)
 			w.step();
@@ -300,13 +305,15 @@
 	}
 }
 
-/* The same with ages believed as they are told: the check sees what it must. */
-TEST(ProofProperty, AgesToldInPassingWouldBreakIt)
+/*
+ * The same with ages accepted from one-way messages: the check must detect it.
+ */
+TEST(ProofProperty, AgesFromOneWayMessagesViolateTheBound)
 {
 	unsigned broken = 0;
 
 	for (unsigned seed = 1; seed <= 12; seed++) {
-		World w(seed, true);
+		Simulation w(seed, true);
 
 		for (int i = 0; i < 12000; i++)
 			w.step();
--- a/tests/route_test.cc
+++ b/tests/route_test.cc
@@ -58,7 +58,7 @@
 	EXPECT_EQ(match("c.example", "/x/"), "none");
 }
 
-TEST_F(Routes, SlashesOfTheQueryAreNoPath)
+TEST_F(Routes, SlashesInTheQueryAreNotPartOfThePath)
 {
 	ASSERT_EQ(tr_routes_finalize(routes, &err), 0);
 	EXPECT_EQ(match("b.example", "/y?p=/x/"), "none");
@@ -74,7 +74,7 @@
 	EXPECT_STREQ(err.value, "/x");
 }
 
-TEST_F(Routes, TwoRoutesOfOnePlaceAreRefused)
+TEST_F(Routes, TwoRoutesWithTheSameHostAndPrefixAreRefused)
 {
 	free(routes->routes[1].prefix);
 	routes->routes[1].prefix = strdup("/");
@@ -90,11 +90,11 @@
 }
 
 /*
- * Symptom: a part of a split gets a share that is off by more than a tenth in
- * a few hundred requests. Sequence: each VM draws at random. Cause: the
- * deviation of random draws; steps of the golden ratio spread evenly.
+ * Guards against a split in which one service's share is off by more than a
+ * tenth over a few hundred requests, by the deviation of independent random
+ * draws at each VM; steps of the golden ratio spread evenly.
  */
-TEST_F(Routes, SplitsHoldInSmallSamplesOverManyVms)
+TEST_F(Routes, SplitsAreAccurateInSmallSamplesOverManyVms)
 {
 	tr_path_route &r = routes->routes[0];
 	int first = 0;
@@ -115,16 +115,16 @@
 }
 
 /*
- * Symptom: a request that is running reads freed routes when a new version
- * comes. Cause: the snapshot was dropped while it was held.
+ * Guards against a running request that reads freed routes when a new version
+ * arrives, because the version was dropped while a reference was held.
  */
-TEST_F(Routes, AHeldSnapshotOutlivesItsVersion)
+TEST_F(Routes, AReferenceKeepsAVersionAlive)
 {
-	tr_routes *held = tr_routes_ref(routes);
+	tr_routes *reference = tr_routes_ref(routes);
 
 	tr_routes_unref(routes);
-	EXPECT_EQ(held->refs, 1u);
-	EXPECT_STREQ(held->services[0].name, "s");
+	EXPECT_EQ(reference->refs, 1u);
+	EXPECT_STREQ(reference->services[0].name, "s");
 }
 
 } // namespace
--- a/tests/send_limit_load_test.cc
+++ b/tests/send_limit_load_test.cc
@@ -1,7 +1,7 @@
 /*
- * A limit that a target names, against whole fleets on a virtual clock: VMs
- * that tell each other what they sent by messages of which some are lost, with
- * cuts and restarts, while far more is wanted than the target takes.
+ * A limit that a target sets, for whole fleets on a virtual clock. VMs report
+ * what they sent by messages of which some are lost, with partitions and
+ * restarts, while callers send far more than the target accepts.
  */
 #include <algorithm>
 #include <cmath>
@@ -19,33 +19,35 @@
 {
 
 constexpr apr_time_t STEP = TR_MSEC(5);
-/* How the daemon paces what it tells, and what a message takes. */
-constexpr apr_time_t GAP_LEAST = TR_MSEC(40), GAP_A_VM = TR_MSEC(1),
-		     PERIOD = TR_MSEC(650), WAY = TR_MSEC(5);
-/* The operators' window, from when on they look, and what they allow. */
+/* How the daemon paces its reports, and the delivery time of a message. */
+constexpr apr_time_t GAP_MIN = TR_MSEC(40), GAP_PER_VM = TR_MSEC(1),
+		     PERIOD = TR_MSEC(650), DELIVERY_TIME = TR_MSEC(5);
+/*
+ * The operators' window, the start of their measurement, and what they allow.
+ */
 constexpr apr_time_t WINDOW = TR_SEC(4), STABLE = TR_SEC(3);
 constexpr double OVER = 1.5, SLACK = 5;
 
 struct Load {
 	unsigned vms = 44;
-	/* Requests a second that want the target, and its limit. */
-	double wanted = 75;
+	/* Requests a second for the target, and its limit. */
+	double demand = 75;
 	double limit = 1;
 	double loss = 0.03;
-	/* From 10 to 15 s on, so many VMs hear none of the others. */
+	/* Number of VMs that are cut off from the others from 10 to 15 s. */
 	unsigned cut = 0;
-	/* VMs that start anew, one a second. */
+	/* One VM restarts each second. */
 	bool restarts = false;
-	/* Three times as much is wanted from 8 to 12 s. */
+	/* Three times the requests from 8 to 12 s. */
 	bool burst = false;
 	unsigned seed = 1;
 };
 
 struct Vm {
 	tr_send_limits limits{};
-	uint32_t place = 0;
-	std::vector<uint16_t> told;
-	apr_time_t told_at = 0;
+	uint32_t index = 0;
+	std::vector<uint16_t> received;
+	apr_time_t reported_at = 0;
 	bool cut = false;
 };
 
@@ -62,7 +64,7 @@
 	explicit Fleet(const Load &l) : load(l), random(l.seed), vms(l.vms)
 	{
 		for (unsigned i = 0; i < vms.size(); i++)
-			begin(i);
+			start_vm(i);
 	}
 
 	~Fleet()
@@ -77,21 +79,23 @@
 			apr_time_t t = now - start;
 			bool burst =
 				load.burst && t > TR_SEC(8) && t < TR_SEC(12);
-			double rate = load.wanted * (burst ? 3 : 1);
+			double rate = load.demand * (burst ? 3 : 1);
 
 			set_cut(t);
 			if (load.restarts && t % TR_SEC(1) == 0)
-				begin((unsigned)(t / TR_SEC(1)) %
-				      (unsigned)vms.size());
+				start_vm((unsigned)(t / TR_SEC(1)) %
+					 (unsigned)vms.size());
 			deliver();
 			for (int n = poisson(rate * (double)STEP / 1e6); n; n--)
-				ask(below((unsigned)vms.size()), rate);
-			tell_due();
+				send_request(below((unsigned)vms.size()), rate);
+			send_due_reports();
 		}
 	}
 
-	/* The most that was sent in any window, from the time on at which
-	 * operators look. */
+	/*
+	 * The most requests sent in any window after the start of the
+	 * measurement.
+	 */
 	unsigned most() const
 	{
 		std::deque<apr_time_t> in;
@@ -113,10 +117,10 @@
 		return OVER * load.limit * 4 + SLACK;
 	}
 
-	/* The part of the limit that is used. */
+	/* The share of the limit that is used. */
 	double used() const
 	{
-		auto first = std::lower_bound(sent.begin(), sent.end(),
+		auto first = std::lower_bound(sent.start_vm(), sent.end(),
 					      start + STABLE);
 
 		return (double)(sent.end() - first) /
@@ -124,18 +128,21 @@
 	}
 
       private:
-	/* What a VM knows that has just started and was told of the limit. */
-	void begin(unsigned i)
+	/*
+	 * State of a VM that has just started and received a report of the
+	 * limit.
+	 */
+	void start_vm(unsigned i)
 	{
 		Vm &vm = vms[i];
 
 		tr_send_limits_release(&vm.limits);
-		vm.place = tr_send_limits_add(&vm.limits, 7);
-		tr_send_limit_set(&vm.limits, vm.place, load.limit, now, now);
-		vm.told.assign(vms.size(), 0);
+		vm.index = tr_send_limits_add(&vm.limits, 7);
+		tr_send_limit_set(&vm.limits, vm.index, load.limit, now, now);
+		vm.received.assign(vms.size(), 0);
 		for (Vm &other : vms)
-			if (other.told.size() > i)
-				other.told[i] = 0;
+			if (other.received.size() > i)
+				other.received[i] = 0;
 	}
 
 	void set_cut(apr_time_t t)
@@ -147,9 +154,11 @@
 			  t < TR_SEC(15);
 	}
 
-	/* The part of the fleet that a VM hears; a cut is noticed when VMs have
-	 * been silent for some of their usual gaps. */
-	double heard(const Vm &vm) const
+	/*
+	 * The share of the fleet that the VM receives reports from. A partition
+	 * is noticed when VMs have been silent for several of their usual gaps.
+	 */
+	double heard_share(const Vm &vm) const
 	{
 		double part = (double)load.cut / (double)vms.size();
 
@@ -158,36 +167,36 @@
 		return vm.cut ? 1.0 / (double)vms.size() : 1 - part;
 	}
 
-	void ask(unsigned i, double wanted)
+	void send_request(unsigned i, double demand)
 	{
 		Vm &vm = vms[i];
-		tr_send_limit *l = &vm.limits.rows[vm.place];
-		double tokens = tr_send_limit_tokens(l, heard(vm), now);
+		tr_send_limit *l = &vm.limits.rows[vm.index];
+		double tokens = tr_send_limit_tokens(l, heard_share(vm), now);
 
-		if (tokens < 1 || !tr_send_limits_admit(tokens, wanted, unit()))
+		if (tokens < 1 || !tr_send_limits_admit(tokens, demand, unit()))
 			return;
-		tr_send_limit_sent(l, heard(vm), now);
+		tr_send_limit_sent(l, heard_share(vm), now);
 		sent.push_back(now);
 	}
 
-	void tell_due()
+	void send_due_reports()
 	{
 		apr_time_t gap = std::max<apr_time_t>(
-			GAP_LEAST, GAP_A_VM * (apr_time_t)vms.size());
+			GAP_MIN, GAP_PER_VM * (apr_time_t)vms.size());
 
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
-			tr_send_limit *l = &vm.limits.rows[vm.place];
+			tr_send_limit *l = &vm.limits.rows[vm.index];
 
-			if (now - vm.told_at < (l->changed ? gap : PERIOD))
+			if (now - vm.reported_at < (l->changed ? gap : PERIOD))
 				continue;
 			l->changed = false;
-			vm.told_at = now;
+			vm.reported_at = now;
 			for (unsigned to = 0; to < vms.size(); to++)
 				if (to != i && !vm.cut && !vms[to].cut &&
 				    unit() >= load.loss)
-					inbox.push_back(
-						{ now + WAY, i, to, l->sent });
+					inbox.push_back({ now + DELIVERY_TIME,
+							  i, to, l->sent });
 		}
 	}
 
@@ -199,10 +208,10 @@
 
 			inbox.pop_front();
 			tr_send_limit_reported(
-				&vm.limits.rows[vm.place],
-				(uint16_t)(m.sent - vm.told[m.from]), heard(vm),
-				now);
-			vm.told[m.from] = m.sent;
+				&vm.limits.rows[vm.index],
+				(uint16_t)(m.sent - vm.received[m.from]),
+				heard_share(vm), now);
+			vm.received[m.from] = m.sent;
 		}
 	}
 
@@ -232,7 +241,8 @@
 	apr_time_t now = TR_SEC(1000);
 };
 
-void holds(const Load &load, unsigned seeds, apr_time_t span = TR_SEC(30))
+void expect_limit_held(const Load &load, unsigned seeds,
+		       apr_time_t span = TR_SEC(30))
 {
 	double used = 0;
 	unsigned most = 0;
@@ -250,59 +260,59 @@
 		used += fleet.used() / seeds;
 	}
 	printf("vms=%u wanted=%g limit=%g loss=%g: most %u of %g, used %.2f\n",
-	       load.vms, load.wanted, load.limit, load.loss, most,
+	       load.vms, load.demand, load.limit, load.loss, most,
 	       OVER * load.limit * 4 + SLACK, used);
 }
 
-/* Guards against VMs that all take the same free place at a target. */
-TEST(SendLimitLoad, AFleetKeepsALimitFarBelowOneRequestForEachVm)
+/* Guards against VMs that all use the same token of a target. */
+TEST(SendLimitLoad, AFleetKeepsALimitFarBelowOneRequestPerVm)
 {
 	for (unsigned vms : { 4, 44, 100 })
-		for (double wanted : { 5., 75., 600. })
+		for (double demand : { 5., 75., 600. })
 			for (double limit : { 0.3, 1., 3., 20. }) {
 				Load l;
 
 				l.vms = vms;
-				l.wanted = wanted;
+				l.demand = demand;
 				l.limit = limit;
-				holds(l, 5);
+				expect_limit_held(l, 5);
 			}
 }
 
-TEST(SendLimitLoad, ItIsKeptWhereMessagesAreLost)
+TEST(SendLimitLoad, TheLimitIsKeptWhileMessagesAreLost)
 {
 	Load l;
 
 	l.loss = 0.2;
-	holds(l, 40);
+	expect_limit_held(l, 40);
 }
 
-TEST(SendLimitLoad, ItIsKeptWhileAPartOfTheFleetIsCutOff)
+TEST(SendLimitLoad, TheLimitIsKeptWhileAPartOfTheFleetIsCutOff)
 {
 	Load l;
 
 	for (unsigned cut : { 1, 15, 22, 43 }) {
 		l.cut = cut;
-		holds(l, 20);
+		expect_limit_held(l, 20);
 	}
 }
 
-TEST(SendLimitLoad, ItIsKeptWhileVmsStartAnew)
+TEST(SendLimitLoad, TheLimitIsKeptWhileVmsRestart)
 {
 	Load l;
 
 	l.restarts = true;
-	holds(l, 20);
+	expect_limit_held(l, 20);
 }
 
-TEST(SendLimitLoad, ItIsKeptInABurst)
+TEST(SendLimitLoad, TheLimitIsKeptInABurst)
 {
 	Load l;
 
 	l.burst = true;
-	holds(l, 20);
-	l.wanted = 600;
-	holds(l, 10);
+	expect_limit_held(l, 20);
+	l.demand = 600;
+	expect_limit_held(l, 10);
 }
 
 } // namespace
--- a/tests/send_limit_test.cc
+++ b/tests/send_limit_test.cc
@@ -11,7 +11,7 @@
 
 struct SendLimit : testing::Test {
 	tr_send_limits limits{};
-	uint32_t place = tr_send_limits_add(&limits, 7);
+	uint32_t index = tr_send_limits_add(&limits, 7);
 	apr_time_t now = TR_SEC(100);
 
 	void TearDown() override
@@ -21,128 +21,139 @@
 
 	tr_send_limit *row()
 	{
-		return &limits.rows[place];
+		return &limits.rows[index];
 	}
 
-	tr_send_limit_change named(double rate, apr_time_t at)
+	tr_send_limit_change set_limit(double rate, apr_time_t at)
 	{
-		return tr_send_limit_set(&limits, place, rate, at, now);
+		return tr_send_limit_set(&limits, index, rate, at, now);
 	}
 
-	double tokens_in(apr_time_t after, double share = 1)
+	double tokens_after(apr_time_t after, double share = 1)
 	{
 		return tr_send_limit_tokens(row(), share, now + after);
 	}
 };
 
-TEST_F(SendLimit, BeginsEmptyAndFillsByTheRate)
+TEST_F(SendLimit, StartsEmptyAndFillsAtTheRate)
 {
-	EXPECT_EQ(named(2, now), TR_SEND_LIMIT_BEGAN);
+	EXPECT_EQ(set_limit(2, now), TR_SEND_LIMIT_BEGAN);
 	EXPECT_EQ(limits.active_count, 1u);
-	EXPECT_DOUBLE_EQ(tokens_in(0), 0);
-	EXPECT_DOUBLE_EQ(tokens_in(TR_MSEC(500)), 1);
-	EXPECT_DOUBLE_EQ(tokens_in(TR_SEC(60)), 2);
+	EXPECT_DOUBLE_EQ(tokens_after(0), 0);
+	EXPECT_DOUBLE_EQ(tokens_after(TR_MSEC(500)), 1);
+	EXPECT_DOUBLE_EQ(tokens_after(TR_SEC(60)), 2);
 }
 
-TEST_F(SendLimit, WhatThisVmAndOthersSendIsTakenFromIt)
+TEST_F(SendLimit, RequestsOfThisVmAndOthersTakeTokens)
 {
-	named(2, now);
+	set_limit(2, now);
 	now += TR_SEC(1);
 	tr_send_limit_sent(row(), 1, now);
-	EXPECT_DOUBLE_EQ(tokens_in(0), 1);
+	EXPECT_DOUBLE_EQ(tokens_after(0), 1);
 	tr_send_limit_reported(row(), 3, 1, now);
-	EXPECT_DOUBLE_EQ(tokens_in(0), -2);
-	EXPECT_DOUBLE_EQ(tokens_in(TR_MSEC(1500)), 1);
+	EXPECT_DOUBLE_EQ(tokens_after(0), -2);
+	EXPECT_DOUBLE_EQ(tokens_after(TR_MSEC(1500)), 1);
 	EXPECT_EQ(row()->sent, 1);
 	EXPECT_TRUE(row()->changed);
 }
 
-/* Guards against a VM that is told an old total and holds back for minutes. */
-TEST_F(SendLimit, AnOldTotalIsNoDebtForLong)
+/*
+ * Guards against a VM that receives an old total and then sends nothing for
+ * minutes.
+ */
+TEST_F(SendLimit, TheDebtOfAnOldTotalIsBounded)
 {
-	named(1, now);
+	set_limit(1, now);
 	tr_send_limit_reported(row(), 60000, 1, now);
-	EXPECT_GE(tokens_in(TR_SEC(7)), 1);
+	EXPECT_GE(tokens_after(TR_SEC(7)), 1);
 }
 
-TEST_F(SendLimit, ASplitFleetHasItsPart)
+TEST_F(SendLimit, ASplitFleetGetsItsShare)
 {
-	named(4, now);
-	EXPECT_DOUBLE_EQ(tokens_in(TR_SEC(1), 0.25), 1);
+	set_limit(4, now);
+	EXPECT_DOUBLE_EQ(tokens_after(TR_SEC(1), 0.25), 1);
 }
 
-/* Guards against a limit that lasts for ever, since nothing is sent. */
-TEST_F(SendLimit, ATargetThatTakesNothingIsAskedNowAndThen)
+/*
+ * Guards against a limit that lasts for ever, since without requests there are
+ * no responses to lift it.
+ */
+TEST_F(SendLimit, ATargetWithLimitZeroIsProbed)
 {
-	named(0, now);
-	EXPECT_LT(tokens_in(TR_SEC(5)), 1);
-	EXPECT_GE(tokens_in(TR_SEC(11)), 1);
+	set_limit(0, now);
+	EXPECT_LT(tokens_after(TR_SEC(5)), 1);
+	EXPECT_GE(tokens_after(TR_SEC(11)), 1);
 }
 
-TEST_F(SendLimit, TheNewestWordHolds)
+TEST_F(SendLimit, TheNewestReportApplies)
 {
-	EXPECT_EQ(named(4, now), TR_SEND_LIMIT_BEGAN);
-	EXPECT_EQ(named(1, now - TR_SEC(1)), TR_SEND_LIMIT_SAME);
+	EXPECT_EQ(set_limit(4, now), TR_SEND_LIMIT_BEGAN);
+	EXPECT_EQ(set_limit(1, now - TR_SEC(1)), TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(row()->rate, 4);
-	EXPECT_EQ(named(2, now + TR_SEC(1)), TR_SEND_LIMIT_CHANGED);
-	EXPECT_EQ(named(2.1, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
+	EXPECT_EQ(set_limit(2, now + TR_SEC(1)), TR_SEND_LIMIT_CHANGED);
+	EXPECT_EQ(set_limit(2.1, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(row()->rate, 2.1);
-	EXPECT_EQ(tr_send_limit_clear(&limits, place, now), TR_SEND_LIMIT_SAME);
-	EXPECT_EQ(tr_send_limit_clear(&limits, place, now + TR_SEC(3)),
+	EXPECT_EQ(tr_send_limit_clear(&limits, index, now), TR_SEND_LIMIT_SAME);
+	EXPECT_EQ(tr_send_limit_clear(&limits, index, now + TR_SEC(3)),
 		  TR_SEND_LIMIT_ENDED);
 	EXPECT_EQ(limits.active_count, 0u);
-	EXPECT_EQ(named(2, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
-	EXPECT_EQ(named(2, now + TR_SEC(4)), TR_SEND_LIMIT_BEGAN);
+	EXPECT_EQ(set_limit(2, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
+	EXPECT_EQ(set_limit(2, now + TR_SEC(4)), TR_SEND_LIMIT_BEGAN);
 }
 
-/* Guards against an answer that was overtaken by the one that named a limit. */
-TEST_F(SendLimit, AnAnswerWithoutOneEndsItOnlyLater)
+/*
+ * Guards against a response without a limit that was sent before the one that
+ * set it and arrives later.
+ */
+TEST_F(SendLimit, AResponseWithoutALimitClearsItOnlyLater)
 {
-	named(1, now);
-	EXPECT_EQ(tr_send_limit_absent(&limits, place, now + TR_MSEC(20)),
+	set_limit(1, now);
+	EXPECT_EQ(tr_send_limit_absent(&limits, index, now + TR_MSEC(20)),
 		  TR_SEND_LIMIT_SAME);
-	EXPECT_EQ(tr_send_limit_absent(&limits, place, now + TR_SEC(2)),
+	EXPECT_EQ(tr_send_limit_absent(&limits, index, now + TR_SEC(2)),
 		  TR_SEND_LIMIT_ENDED);
 }
 
-TEST_F(SendLimit, AForgottenLimitIsNoWordOfTheTarget)
+TEST_F(SendLimit, ADeactivatedLimitCanBeSetAgain)
 {
-	named(1, now);
+	set_limit(1, now);
 	EXPECT_FALSE(tr_send_limit_is_stale(row(), now + TR_SEC(9)));
 	EXPECT_TRUE(tr_send_limit_is_stale(row(), now + TR_SEC(11)));
-	tr_send_limits_deactivate(&limits, place);
+	tr_send_limits_deactivate(&limits, index);
 	EXPECT_EQ(limits.active_count, 0u);
-	EXPECT_EQ(named(1, now + TR_MSEC(1)), TR_SEND_LIMIT_BEGAN);
+	EXPECT_EQ(set_limit(1, now + TR_MSEC(1)), TR_SEND_LIMIT_BEGAN);
 }
 
-/* Guards against VMs that keep a limit young by telling each other of it, so
- * that no answer without one ends it. */
-TEST_F(SendLimit, ALimitGrowsOldHoweverOftenItIsTold)
+/*
+ * Guards against VMs that keep a limit young by reporting it to each other, so
+ * that no response without a limit clears it.
+ */
+TEST_F(SendLimit, ALimitAgesHoweverOftenItIsReported)
 {
-	const apr_time_t way = TR_MSEC(20), said = now;
+	const apr_time_t delay = TR_MSEC(20), set_at = now;
 	apr_time_t newest = now;
 
-	named(1, now);
-	while (now < said + TR_SEC(5)) {
+	set_limit(1, now);
+	while (now < set_at + TR_SEC(5)) {
 		apr_time_t age = now - newest;
 
-		now += way;
+		now += delay;
 		newest = std::max(newest, tr_send_limit_report_time(age, now));
-		named(1, newest);
+		set_limit(1, newest);
 	}
-	EXPECT_EQ(newest, said);
-	EXPECT_EQ(tr_send_limit_absent(&limits, place, now),
+	EXPECT_EQ(newest, set_at);
+	EXPECT_EQ(tr_send_limit_absent(&limits, index, now),
 		  TR_SEND_LIMIT_ENDED);
 }
 
-TEST_F(SendLimit, APlaceIsUsedAgain)
+TEST_F(SendLimit, ARowIsReused)
 {
 	uint32_t other = tr_send_limits_add(&limits, 8);
 
-	named(1, now);
-	tr_send_limits_remove(&limits, place);
+	set_limit(1, now);
+	tr_send_limits_remove(&limits, index);
 	EXPECT_EQ(limits.active_count, 0u);
-	EXPECT_EQ(tr_send_limits_add(&limits, 9), place);
+	EXPECT_EQ(tr_send_limits_add(&limits, 9), index);
 	EXPECT_EQ(limits.rows[other].target, 8u);
 }
 
