--- a/lib/limit.c
+++ b/lib/limit.c
@@ -80,14 +80,15 @@
 {
 	struct tr_limit *row;
 
-	if (!limits->rows || limits->count == limits->room) {
-		unsigned room = limits->room ? limits->room * 2 : 32;
+	if (!limits->rows || limits->count == limits->capacity) {
+		unsigned capacity =
+			limits->capacity ? limits->capacity * 2 : 32;
 
-		row = realloc(limits->rows, room * sizeof(*row));
+		row = realloc(limits->rows, capacity * sizeof(*row));
 		if (!row)
 			abort();
 		limits->rows = row;
-		limits->room = room;
+		limits->capacity = capacity;
 	}
 	row = &limits->rows[limits->count];
 	memset(row, 0, sizeof(*row));
@@ -180,9 +181,9 @@
  */
 double tr_limit_group_share(const struct tr_limit *l, apr_time_t now)
 {
-	double near = window_rate(l, now);
+	double own_rate = window_rate(l, now);
 	double others = 0;
-	double left;
+	double remaining;
 
 	if (l->rate <= 0)
 		return l->heard;
@@ -191,10 +192,10 @@
 	for (unsigned i = 0; i < l->groups_count; i++)
 		if (now - l->groups[i].reported_at < GROUP_REPORT_TTL)
 			others += l->groups[i].rate;
-	left = (l->rate - others) / l->rate;
-	if (near > 0)
-		left = fmax(left, near / (near + others));
-	return l->heard * fmax(left, 0);
+	remaining = (l->rate - others) / l->rate;
+	if (own_rate > 0)
+		remaining = fmax(remaining, own_rate / (own_rate + others));
+	return l->heard * fmax(remaining, 0);
 }
 
 /* Requests that the limit allows in a window. */
@@ -251,16 +252,16 @@
  */
 static double estimate_unknown_use(const struct tr_limit *l,
 				   const struct tr_limit_bound *bound,
-				   double part, apr_time_t now)
+				   double group_share, apr_time_t now)
 {
-	apr_time_t left = bound->window - (now - l->counting_since);
+	apr_time_t remaining = bound->window - (now - l->counting_since);
 	double window_s = (double)bound->window / 1e6;
 
-	if (left <= 0)
+	if (remaining <= 0)
 		return 0;
-	return fmin(window_limit(l, bound) * part,
+	return fmin(window_limit(l, bound) * group_share,
 		    arrival_rate(l, OUTAGE_S, now) * window_s) *
-	       (double)left / (double)bound->window;
+	       (double)remaining / (double)bound->window;
 }
 
 static void count(struct tr_limit *l, unsigned arrived, unsigned admitted)
@@ -374,24 +375,25 @@
 		    struct tr_random *random, apr_time_t now)
 {
 	double slack = bound->slack * heard->share / heard->groups;
-	double part;
+	double group_share;
 	double spare;
 	bool admitted = true;
 
 	/* VMs that have not reported yet are not lost. */
 	l->heard = is_warming_up(l, now) ? 1 : heard->share;
 	l->fleet_groups = heard->groups;
-	part = tr_limit_group_share(l, now);
+	group_share = tr_limit_group_share(l, now);
 	advance_window(l, bound, now);
 	decay_rates(l, now);
 	if (l->rate > 0) {
-		spare = window_limit(l, bound) * part - tr_limit_used(l) -
-			estimate_unknown_use(l, bound, part, now);
+		spare = window_limit(l, bound) * group_share -
+			tr_limit_used(l) -
+			estimate_unknown_use(l, bound, group_share, now);
 		if (is_warming_up(l, now))
 			spare += USED_SLACK_AT_START * slack;
 		else
 			spare += USED_OVERRUN_SHARE * bound->over *
-					 window_limit(l, bound) * part +
+					 window_limit(l, bound) * group_share +
 				 USED_SLACK_SHARE * slack;
 		admitted = tr_random_unit(random) * arrival_rate(l, 0, now) <
 			   expiry_rate(l, bound, now) + spare / SMOOTHING_S;
@@ -412,11 +414,11 @@
 				const struct tr_limit_bound *bound,
 				struct tr_random *random)
 {
-	double beyond = tr_limit_used(l) - window_limit(l, bound) * l->heard;
+	double excess = tr_limit_used(l) - window_limit(l, bound) * l->heard;
 	apr_time_t after = RETRY_AFTER_MIN_US;
 
-	if (l->rate > 0 && beyond > 0)
-		after += (apr_time_t)(beyond / l->rate * 1e6);
+	if (l->rate > 0 && excess > 0)
+		after += (apr_time_t)(excess / l->rate * 1e6);
 	after += TR_MSEC(tr_random_below(random, RETRY_JITTER_MS));
 	return after < RETRY_AFTER_MAX_US ? after : RETRY_AFTER_MAX_US;
 }
--- a/lib/limit.h
+++ b/lib/limit.h
@@ -84,7 +84,7 @@
 struct tr_limits {
 	struct tr_limit *rows;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
 	struct tr_index by_name;
 	/* Rows at which the next messages continue. */
 	uint32_t next_reported;
--- a/lib/place.c
+++ b/lib/place.c
@@ -132,24 +132,24 @@
  */
 static double expected_failure_cost(const struct tr_place_request *req)
 {
-	double again = (double)(req->failure_age + req->usual);
+	double retry_time = (double)(req->failure_age + req->usual);
 
 	if (!req->may_repeat || !tr_mechanism_enabled(TR_MECH_SCOUTS))
 		return FAILURE_COST;
-	return RETRY_COST + late_cost(req, again) -
+	return RETRY_COST + late_cost(req, retry_time) -
 	       late_cost(req, (double)req->usual);
 }
 
 static double cross_dc_cost(const struct tr_instance *row,
 			    const struct tr_place_request *req)
 {
-	double away =
+	double cost =
 		CROSS_DC_COST + (double)req->body_bytes / CROSS_DC_BODY_BYTES;
 
 	if (!strcmp(row->data_centre, req->data_centre) ||
 	    !tr_mechanism_enabled(TR_MECH_CENTRE_PREFERENCE))
 		return 0;
-	return fmin(away, CROSS_DC_COST_MAX);
+	return fmin(cost, CROSS_DC_COST_MAX);
 }
 
 static double reuse_gain(const struct tr_instance *row,
--- a/lib/send_limit.c
+++ b/lib/send_limit.c
@@ -53,34 +53,34 @@
 /* Adds a row for the target and returns its index. */
 uint32_t tr_send_limits_add(struct tr_send_limits *limits, uint32_t target)
 {
-	uint32_t index = 0;
+	uint32_t row_index = 0;
 
-	while (index < limits->count && limits->rows[index].used)
-		index++;
-	if (index == limits->room) {
-		unsigned room = limits->room ? limits->room * 2 : 8;
+	while (row_index < limits->count && limits->rows[row_index].used)
+		row_index++;
+	if (row_index == limits->capacity) {
+		unsigned capacity = limits->capacity ? limits->capacity * 2 : 8;
 		void *grown =
-			realloc(limits->rows, room * sizeof(*limits->rows));
+			realloc(limits->rows, capacity * sizeof(*limits->rows));
 
 		if (!grown)
 			abort();
 		limits->rows = grown;
-		limits->room = room;
+		limits->capacity = capacity;
 	}
-	if (index == limits->count)
+	if (row_index == limits->count)
 		limits->count++;
-	limits->rows[index] = (struct tr_send_limit){
+	limits->rows[row_index] = (struct tr_send_limit){
 		.used = true,
 		.target = target,
 	};
-	return index;
+	return row_index;
 }
 
 /* Removes the row of a target that is gone. */
-void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t index)
+void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t row_index)
 {
-	limits->active_count -= limits->rows[index].holds;
-	memset(&limits->rows[index], 0, sizeof(*limits->rows));
+	limits->active_count -= limits->rows[row_index].holds;
+	memset(&limits->rows[row_index], 0, sizeof(*limits->rows));
 }
 
 void tr_send_limits_release(struct tr_send_limits *limits)
@@ -135,10 +135,10 @@
  * VM's clock.
  */
 enum tr_send_limit_change tr_send_limit_set(struct tr_send_limits *limits,
-					    uint32_t index, double rate,
+					    uint32_t row_index, double rate,
 					    apr_time_t named_at, apr_time_t now)
 {
-	struct tr_send_limit *l = &limits->rows[index];
+	struct tr_send_limit *l = &limits->rows[row_index];
 	bool was_active = l->holds;
 
 	if (named_at <= l->named_at)
@@ -160,10 +160,10 @@
 
 /* The limit ended at named_at, as a response or another VM reports. */
 enum tr_send_limit_change tr_send_limit_clear(struct tr_send_limits *limits,
-					      uint32_t index,
+					      uint32_t row_index,
 					      apr_time_t named_at)
 {
-	struct tr_send_limit *l = &limits->rows[index];
+	struct tr_send_limit *l = &limits->rows[row_index];
 
 	if (!l->holds || named_at <= l->named_at)
 		return TR_SEND_LIMIT_SAME;
@@ -174,9 +174,10 @@
 }
 
 /* Stops applying the limit, though the target has not lifted it. */
-void tr_send_limits_deactivate(struct tr_send_limits *limits, uint32_t index)
+void tr_send_limits_deactivate(struct tr_send_limits *limits,
+			       uint32_t row_index)
 {
-	struct tr_send_limit *l = &limits->rows[index];
+	struct tr_send_limit *l = &limits->rows[row_index];
 
 	limits->active_count -= l->holds;
 	l->holds = false;
@@ -190,12 +191,12 @@
 
 /* A response to this VM carried no limit. */
 enum tr_send_limit_change tr_send_limit_absent(struct tr_send_limits *limits,
-					       uint32_t index,
+					       uint32_t row_index,
 					       apr_time_t named_at)
 {
-	if (named_at < limits->rows[index].named_at + CLEAR_DELAY)
+	if (named_at < limits->rows[row_index].named_at + CLEAR_DELAY)
 		return TR_SEND_LIMIT_SAME;
-	return tr_send_limit_clear(limits, index, named_at);
+	return tr_send_limit_clear(limits, row_index, named_at);
 }
 
 /* Counts a request that this VM sends to the target. */
--- a/lib/send_limit.h
+++ b/lib/send_limit.h
@@ -41,7 +41,7 @@
 struct tr_send_limits {
 	struct tr_send_limit *rows;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
 	/* Limits that apply now. */
 	unsigned active_count;
 	/* Row at which the next message continues. */
@@ -49,19 +49,20 @@
 };
 
 uint32_t tr_send_limits_add(struct tr_send_limits *limits, uint32_t target);
-void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t index);
+void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t row_index);
 void tr_send_limits_release(struct tr_send_limits *limits);
 enum tr_send_limit_change tr_send_limit_set(struct tr_send_limits *limits,
-					    uint32_t index, double rate,
+					    uint32_t row_index, double rate,
 					    apr_time_t named_at,
 					    apr_time_t now);
 enum tr_send_limit_change tr_send_limit_absent(struct tr_send_limits *limits,
-					       uint32_t index,
+					       uint32_t row_index,
 					       apr_time_t named_at);
 enum tr_send_limit_change tr_send_limit_clear(struct tr_send_limits *limits,
-					      uint32_t index,
+					      uint32_t row_index,
 					      apr_time_t named_at);
-void tr_send_limits_deactivate(struct tr_send_limits *limits, uint32_t index);
+void tr_send_limits_deactivate(struct tr_send_limits *limits,
+			       uint32_t row_index);
 bool tr_send_limit_is_stale(const struct tr_send_limit *l, apr_time_t now);
 apr_time_t tr_send_limit_report_time(apr_time_t reported_age, apr_time_t now);
 void tr_send_limit_sent(struct tr_send_limit *l, double heard_share,
--- a/tests/send_limit_load_test.cc
+++ b/tests/send_limit_load_test.cc
@@ -45,7 +45,7 @@
 
 struct Vm {
 	tr_send_limits limits{};
-	uint32_t index = 0;
+	uint32_t row_index = 0;
 	std::vector<uint16_t> received;
 	apr_time_t reported_at = 0;
 	bool cut = false;
@@ -137,8 +137,9 @@
 		Vm &vm = vms[i];
 
 		tr_send_limits_release(&vm.limits);
-		vm.index = tr_send_limits_add(&vm.limits, 7);
-		tr_send_limit_set(&vm.limits, vm.index, load.limit, now, now);
+		vm.row_index = tr_send_limits_add(&vm.limits, 7);
+		tr_send_limit_set(&vm.limits, vm.row_index, load.limit, now,
+				  now);
 		vm.received.assign(vms.size(), 0);
 		for (Vm &other : vms)
 			if (other.received.size() > i)
@@ -170,7 +171,7 @@
 	void send_request(unsigned i, double demand)
 	{
 		Vm &vm = vms[i];
-		tr_send_limit *l = &vm.limits.rows[vm.index];
+		tr_send_limit *l = &vm.limits.rows[vm.row_index];
 		double tokens = tr_send_limit_tokens(l, heard_share(vm), now);
 
 		if (tokens < 1 || !tr_send_limits_admit(tokens, demand, unit()))
@@ -186,7 +187,7 @@
 
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
-			tr_send_limit *l = &vm.limits.rows[vm.index];
+			tr_send_limit *l = &vm.limits.rows[vm.row_index];
 
 			if (now - vm.reported_at < (l->changed ? gap : PERIOD))
 				continue;
@@ -208,7 +209,7 @@
 
 			inbox.pop_front();
 			tr_send_limit_reported(
-				&vm.limits.rows[vm.index],
+				&vm.limits.rows[vm.row_index],
 				(uint16_t)(m.sent - vm.received[m.from]),
 				heard_share(vm), now);
 			vm.received[m.from] = m.sent;
--- a/tests/send_limit_test.cc
+++ b/tests/send_limit_test.cc
@@ -11,7 +11,7 @@
 
 struct SendLimit : testing::Test {
 	tr_send_limits limits{};
-	uint32_t index = tr_send_limits_add(&limits, 7);
+	uint32_t row_index = tr_send_limits_add(&limits, 7);
 	apr_time_t now = TR_SEC(100);
 
 	void TearDown() override
@@ -21,12 +21,12 @@
 
 	tr_send_limit *row()
 	{
-		return &limits.rows[index];
+		return &limits.rows[row_index];
 	}
 
 	tr_send_limit_change set_limit(double rate, apr_time_t at)
 	{
-		return tr_send_limit_set(&limits, index, rate, at, now);
+		return tr_send_limit_set(&limits, row_index, rate, at, now);
 	}
 
 	double tokens_after(apr_time_t after, double share = 1)
@@ -93,8 +93,9 @@
 	EXPECT_EQ(set_limit(2, now + TR_SEC(1)), TR_SEND_LIMIT_CHANGED);
 	EXPECT_EQ(set_limit(2.1, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(row()->rate, 2.1);
-	EXPECT_EQ(tr_send_limit_clear(&limits, index, now), TR_SEND_LIMIT_SAME);
-	EXPECT_EQ(tr_send_limit_clear(&limits, index, now + TR_SEC(3)),
+	EXPECT_EQ(tr_send_limit_clear(&limits, row_index, now),
+		  TR_SEND_LIMIT_SAME);
+	EXPECT_EQ(tr_send_limit_clear(&limits, row_index, now + TR_SEC(3)),
 		  TR_SEND_LIMIT_ENDED);
 	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(set_limit(2, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
@@ -108,9 +109,9 @@
 TEST_F(SendLimit, AResponseWithoutALimitClearsItOnlyLater)
 {
 	set_limit(1, now);
-	EXPECT_EQ(tr_send_limit_absent(&limits, index, now + TR_MSEC(20)),
+	EXPECT_EQ(tr_send_limit_absent(&limits, row_index, now + TR_MSEC(20)),
 		  TR_SEND_LIMIT_SAME);
-	EXPECT_EQ(tr_send_limit_absent(&limits, index, now + TR_SEC(2)),
+	EXPECT_EQ(tr_send_limit_absent(&limits, row_index, now + TR_SEC(2)),
 		  TR_SEND_LIMIT_ENDED);
 }
 
@@ -119,7 +120,7 @@
 	set_limit(1, now);
 	EXPECT_FALSE(tr_send_limit_is_stale(row(), now + TR_SEC(9)));
 	EXPECT_TRUE(tr_send_limit_is_stale(row(), now + TR_SEC(11)));
-	tr_send_limits_deactivate(&limits, index);
+	tr_send_limits_deactivate(&limits, row_index);
 	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(set_limit(1, now + TR_MSEC(1)), TR_SEND_LIMIT_BEGAN);
 }
@@ -142,7 +143,7 @@
 		set_limit(1, newest);
 	}
 	EXPECT_EQ(newest, set_at);
-	EXPECT_EQ(tr_send_limit_absent(&limits, index, now),
+	EXPECT_EQ(tr_send_limit_absent(&limits, row_index, now),
 		  TR_SEND_LIMIT_ENDED);
 }
 
@@ -151,9 +152,9 @@
 	uint32_t other = tr_send_limits_add(&limits, 8);
 
 	set_limit(1, now);
-	tr_send_limits_remove(&limits, index);
+	tr_send_limits_remove(&limits, row_index);
 	EXPECT_EQ(limits.active_count, 0u);
-	EXPECT_EQ(tr_send_limits_add(&limits, 9), index);
+	EXPECT_EQ(tr_send_limits_add(&limits, 9), row_index);
 	EXPECT_EQ(limits.rows[other].target, 8u);
 }
 
