--- a/lib/allowance.c
+++ b/lib/allowance.c
@@ -78,56 +78,57 @@
  * average request rate. With the requests of the current window alone each VM
  * would send most in the windows in which it happens to receive most.
  */
-static double vm_budget(const struct tr_repeat_bucket *p,
+static double vm_budget(const struct tr_repeat_bucket *bucket,
 			const struct tr_repeat_bound *bound, apr_time_t now)
 {
 	double averaging_us = AVERAGE_WINDOWS * (double)bound->window;
-	double counted = fmax((double)(now - p->first_request_at),
+	double counted = fmax((double)(now - bucket->first_request_at),
 			      (double)bound->window);
-	double decay = exp(-(double)(now - p->averaged_at) / averaging_us);
-	double requests = p->average_requests * decay /
+	double decay = exp(-(double)(now - bucket->averaged_at) / averaging_us);
+	double requests = bucket->average_requests * decay /
 			  (1 - exp(-counted / averaging_us)) / AVERAGE_WINDOWS;
 
 	return USABLE_SHARE * (bound->ratio * requests + own_slack(bound));
 }
 
 /* How many of these may be saved up and sent at once. */
-static double bucket_size(double own)
+static double bucket_size(double budget)
 {
-	return fmax(BURST_SHARE * own, fmin(1, BURST_SHARE_SMALL * own));
+	return fmax(BURST_SHARE * budget, fmin(1, BURST_SHARE_SMALL * budget));
 }
 
 /* Counts requests that the VM that owns the bucket received. */
-static void add_requests(struct tr_repeat_bucket *p,
+static void add_requests(struct tr_repeat_bucket *bucket,
 			 const struct tr_repeat_bound *bound, unsigned requests,
 			 apr_time_t now)
 {
-	if (!p->first_request_at)
-		p->first_request_at = now;
-	p->average_requests *= exp(-(double)(now - p->averaged_at) /
-				   (AVERAGE_WINDOWS * (double)bound->window));
-	p->average_requests += requests;
-	p->averaged_at = now;
+	if (!bucket->first_request_at)
+		bucket->first_request_at = now;
+	bucket->average_requests *=
+		exp(-(double)(now - bucket->averaged_at) /
+		    (AVERAGE_WINDOWS * (double)bound->window));
+	bucket->average_requests += requests;
+	bucket->averaged_at = now;
 }
 
-static void add_tokens(struct tr_repeat_bucket *p,
+static void add_tokens(struct tr_repeat_bucket *bucket,
 		       const struct tr_repeat_bound *bound, double repeats,
 		       apr_time_t now)
 {
-	p->tokens = fmin(p->tokens + USABLE_SHARE * repeats,
-			 bucket_size(vm_budget(p, bound, now)));
+	bucket->tokens = fmin(bucket->tokens + USABLE_SHARE * repeats,
+			      bucket_size(vm_budget(bucket, bound, now)));
 }
 
 /*
  * Returns the share of the slack for the time since the last call, in repeats.
  */
-static double accrue_slack(struct tr_repeat_bucket *p,
+static double accrue_slack(struct tr_repeat_bucket *bucket,
 			   const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	double windows = fmin(1, (double)(now - p->slack_accrued_at) /
+	double windows = fmin(1, (double)(now - bucket->slack_accrued_at) /
 					 (double)bound->window);
 
-	p->slack_accrued_at = now;
+	bucket->slack_accrued_at = now;
 	return windows * own_slack(bound);
 }
 
@@ -138,11 +139,11 @@
 static double earned_share(const struct tr_allowance *a,
 			   const struct tr_repeat_bound *bound, apr_time_t now)
 {
-	double own = vm_budget(&a->bucket, bound, now);
+	double budget = vm_budget(&a->bucket, bound, now);
 
-	if (now - a->counting_since >= bound->window || own <= 0)
+	if (now - a->counting_since >= bound->window || budget <= 0)
 		return 1;
-	return 1 - bucket_size(own) / own;
+	return 1 - bucket_size(budget) / budget;
 }
 
 /* Counts a request for the service from a caller. */
@@ -279,14 +280,14 @@
  * the pace: a burst up to the bucket size at once, the rest as time passes.
  */
 static bool keeps_pace(const uint32_t *repeats, apr_time_t part, double sent,
-		       double most)
+		       double budget)
 {
-	double saved = bucket_size(most);
+	double burst = bucket_size(budget);
 
 	for (int i = 0; i < TR_ALLOWANCE_SLOTS; i++) {
 		sent += repeats[(part + TR_ALLOWANCE_SLOTS - i) %
 				TR_ALLOWANCE_SLOTS];
-		if (sent > saved + (most - saved) * i / TR_ALLOWANCE_PARTS)
+		if (sent > burst + (budget - burst) * i / TR_ALLOWANCE_PARTS)
 			return false;
 	}
 	return true;
--- a/lib/limit.c
+++ b/lib/limit.c
@@ -71,7 +71,7 @@
 #define RETRY_JITTER_MS 1000
 
 /* Returns the number by which messages identify an organisation. */
-uint32_t tr_limit_name(const char *organisation)
+uint32_t tr_limit_name_hash(const char *organisation)
 {
 	return (uint32_t)tr_hash_string(organisation);
 }
@@ -113,7 +113,7 @@
 uint32_t tr_limits_find_or_add(struct tr_limits *limits,
 			       const char *organisation)
 {
-	uint32_t name = tr_limit_name(organisation);
+	uint32_t name = tr_limit_name_hash(organisation);
 	struct tr_limit *row = tr_limits_find(limits, name);
 
 	if (!row)
--- a/lib/limit.h
+++ b/lib/limit.h
@@ -91,7 +91,7 @@
 	uint32_t next_demand;
 };
 
-uint32_t tr_limit_name(const char *organisation);
+uint32_t tr_limit_name_hash(const char *organisation);
 struct tr_limit *tr_limits_find(struct tr_limits *limits, uint32_t name);
 uint32_t tr_limits_find_or_add(struct tr_limits *limits,
 			       const char *organisation);
--- a/lib/place.c
+++ b/lib/place.c
@@ -70,7 +70,7 @@
  * nothing about how long work takes.
  */
 #define SUSPECT_RISK 0.5
-/* Share of the usual work time that must be left after the wait. */
+/* Share of the expected work time that must be left after the wait. */
 #define MIN_WORK_SHARE 1.0
 /*
  * Retry-After in us when no target is known, and its maximum when targets have
--- a/lib/spread.c
+++ b/lib/spread.c
@@ -163,14 +163,15 @@
 
 	if (newest <= held || newest <= refused)
 		return NULL;
-	if (s->wanted <= held)
-		s->ask_at = now +
-			    TR_MSEC(tr_random_below(random, INITIAL_JITTER_MS));
-	if (s->wanted <= held || s->last_held != held)
+	if (s->newest_seen <= held)
+		s->next_request_at =
+			now +
+			TR_MSEC(tr_random_below(random, INITIAL_JITTER_MS));
+	if (s->newest_seen <= held || s->last_held != held)
 		s->outdated_since = now;
 	s->last_held = held;
-	s->wanted = newest;
-	if (now < s->ask_at)
+	s->newest_seen = newest;
+	if (now < s->next_request_at)
 		return NULL;
 	near = newest_in_group(s, m, now) > held;
 	if (near)
@@ -189,8 +190,9 @@
 		      struct tr_random *random, apr_time_t now)
 {
 	s->refused_by = source;
-	s->ask_at = now + REFETCH_MIN +
-		    TR_MSEC(tr_random_below(random, REFETCH_JITTER_MS));
+	s->next_request_at =
+		now + REFETCH_MIN +
+		TR_MSEC(tr_random_below(random, REFETCH_JITTER_MS));
 }
 
 /*
--- a/lib/spread.h
+++ b/lib/spread.h
@@ -10,12 +10,12 @@
 	/*
 	 * Newest revision that other VMs were known to have, at the last check.
 	 */
-	uint64_t wanted;
+	uint64_t newest_seen;
 	/* Revision that this VM held at the last check. */
 	uint64_t last_held;
 	apr_time_t outdated_since;
 	/* Earliest time of the next request. */
-	apr_time_t ask_at;
+	apr_time_t next_request_at;
 	/* Address of the VM that last failed to serve the revision, or 0. */
 	uint32_t refused_by;
 };
