--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -60,7 +60,7 @@
 	enum tr_place_result res;
 	struct tr_place_request req = {
 		.service = x->service,
-		.usual = exchange_usual(x),
+		.expected_work = exchange_usual(x),
 		.spread = tr_service_stats_spread(svc),
 		.failure_age = tr_service_stats_failure_age(svc, aim),
 		.standing_queue = svc->standing_queue,
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -139,7 +139,7 @@
 	if (status == 503) {
 		const struct tr_place_request req = {
 			.service = x->service,
-			.usual = exchange_usual(x),
+			.expected_work = exchange_usual(x),
 			.heard = exchange_heard(x),
 		};
 
--- a/lib/place.c
+++ b/lib/place.c
@@ -99,14 +99,14 @@
 /*
  * Estimates the time until a slot is free from the load that the fleet reports.
  */
-static apr_time_t expected_wait(const struct tr_instance *row, apr_time_t usual,
-				uint32_t in_flight)
+static apr_time_t expected_wait(const struct tr_instance *row,
+				apr_time_t expected_work, uint32_t in_flight)
 {
 
 	if (in_flight < row->slots)
 		return 0;
-	return (apr_time_t)((in_flight - row->slots + 1) * (double)usual /
-			    row->slots);
+	return (apr_time_t)((in_flight - row->slots + 1) *
+			    (double)expected_work / row->slots);
 }
 
 /*
@@ -132,12 +132,12 @@
  */
 static double expected_failure_cost(const struct tr_place_request *req)
 {
-	double retry_time = (double)(req->failure_age + req->usual);
+	double retry_time = (double)(req->failure_age + req->expected_work);
 
 	if (!req->may_repeat || !tr_mechanism_enabled(TR_MECH_SCOUTS))
 		return FAILURE_COST;
 	return RETRY_COST + late_cost(req, retry_time) -
-	       late_cost(req, (double)req->usual);
+	       late_cost(req, (double)req->expected_work);
 }
 
 static double cross_dc_cost(const struct tr_instance *row,
@@ -163,10 +163,10 @@
 			  apr_time_t now, struct tr_placement *p)
 {
 	uint32_t in_flight = tr_instance_in_flight(row, now);
-	double takes = (double)req->usual;
+	double takes = (double)req->expected_work;
 	double share;
 
-	p->wait = expected_wait(row, req->usual, in_flight);
+	p->wait = expected_wait(row, req->expected_work, in_flight);
 	p->risk = tr_gray_probability(&row->gray, now);
 	/*
 	 * Requests in flight share the target's capacity to some extent, so an
@@ -194,9 +194,9 @@
 
 	if (!tr_mechanism_enabled(TR_MECH_EARLY_REFUSAL))
 		return true;
-	if (req->standing_queue && req->aim_left > req->usual)
+	if (req->standing_queue && req->aim_left > req->expected_work)
 		left = req->aim_left;
-	return (double)p->wait + (double)req->usual * MIN_WORK_SHARE <=
+	return (double)p->wait + (double)req->expected_work * MIN_WORK_SHARE <=
 	       (double)left;
 }
 
@@ -320,7 +320,7 @@
 			continue;
 		untried++;
 		p.cost = target_cost(row, req, loss, now, &p);
-		takes = p.wait + req->usual;
+		takes = p.wait + req->expected_work;
 		if (p.risk < SUSPECT_RISK && takes < shortest_time)
 			shortest_time = takes;
 		fits = row->full_until <= now && meets_deadline(req, &p);
@@ -409,7 +409,7 @@
 			add_capacity(&capacity, roster, row, req, now);
 	}
 	if (capacity.slots > 0)
-		after = (double)req->usual *
+		after = (double)req->expected_work *
 			fmax(0.25, capacity.in_flight / capacity.slots - 1);
 	else if (capacity.limits > 0)
 		after = fmin(1e6 / capacity.limits, RETRY_AFTER_MAX_US);
--- a/lib/place.h
+++ b/lib/place.h
@@ -10,7 +10,7 @@
 struct tr_place_request {
 	uint32_t service;
 	/* Expected work time, and the spread of its logarithm. */
-	apr_time_t usual;
+	apr_time_t expected_work;
 	double spread;
 	/* Age at which attempts usually turn out to have failed. */
 	apr_time_t failure_age;
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -269,7 +269,7 @@
 		tr_placement p;
 		tr_place_request req{};
 
-		req.usual = tr_service_stats_mean_time(svc, AIM);
+		req.expected_work = tr_service_stats_mean_time(svc, AIM);
 		req.spread = tr_service_stats_spread(svc);
 		req.failure_age = tr_service_stats_failure_age(svc, AIM);
 		req.standing_queue = svc->standing_queue;
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -138,7 +138,7 @@
 		tr_placement p;
 		tr_place_request req{};
 
-		req.usual = TR_MSEC(250);
+		req.expected_work = TR_MSEC(250);
 		req.spread = 0.7;
 		req.failure_age = TR_MSEC(700);
 		req.aim_left = TR_MSEC(1200);
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -21,7 +21,7 @@
 	void SetUp() override
 	{
 		req.service = tr_roster_service(&roster, "svc");
-		req.usual = TR_MSEC(250);
+		req.expected_work = TR_MSEC(250);
 		req.spread = 0.7;
 		req.failure_age = TR_MSEC(500);
 		req.aim_left = TR_SEC(1);
@@ -312,7 +312,8 @@
 			tr_place_retry_after(&roster, &req, &random, now));
 	EXPECT_GT(*std::max_element(after.begin(), after.end()),
 		  *std::min_element(after.begin(), after.end()) * 3 / 2);
-	EXPECT_GE(*std::min_element(after.begin(), after.end()), req.usual);
+	EXPECT_GE(*std::min_element(after.begin(), after.end()),
+		  req.expected_work);
 }
 
 /* Sets a limit for the target in the row. */
@@ -559,7 +560,7 @@
 		tr_place_request req{};
 		tr_placement p;
 
-		req.usual = WORK;
+		req.expected_work = WORK;
 		req.spread = 0.3;
 		req.standing_queue = svc->standing_queue;
 		req.aim_left = AIM;
