--- a/lib/send_limit.h
+++ b/lib/send_limit.h
@@ -43,7 +43,7 @@
 	unsigned count;
 	unsigned capacity;
 	/* Limits that apply now. */
-	unsigned active_count;
+	unsigned holding;
 	/* Row at which the next message continues. */
 	uint32_t next_reported;
 };
--- a/tests/send_limit_load_test.cc
+++ b/tests/send_limit_load_test.cc
@@ -120,7 +120,7 @@
 	/* The share of the limit that is used. */
 	double used() const
 	{
-		auto first = std::lower_bound(sent.start_vm(), sent.end(),
+		auto first = std::lower_bound(sent.begin(), sent.end(),
 					      start + STABLE);
 
 		return (double)(sent.end() - first) /
