--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -426,8 +426,8 @@
 	tr_routes *r = platform_dialect.read_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
-	EXPECT_TRUE(tr_routes_match(r, "h.example", 9, "/a/x")->open);
-	EXPECT_FALSE(tr_routes_match(r, "h.example", 9, "/b/")->open);
+	EXPECT_TRUE(tr_routes_match(r, "h.example", 9, "/a/x")->is_public);
+	EXPECT_FALSE(tr_routes_match(r, "h.example", 9, "/b/")->is_public);
 	tr_routes_unref(r);
 }
 
