--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -168,7 +168,7 @@
 		{ "fatal_requests_refused_total", c->fatal },
 		{ "fatal_requests_known", e->fatals.count },
 		{ "targets_saying_leaving", e->roster.says_leaving_count },
-		{ "targets_limited", e->roster.limits.holding },
+		{ "targets_limited", e->roster.limits.active_count },
 		{ "notices_refused_total", c->notices_refused },
 		{ "proof_age_ms", mesh_proof_age(e) },
 		{ "log_lines_left_out_total",
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -26,7 +26,7 @@
 {
 	const struct entry *e = x->e;
 
-	if (!e->roster.limits.holding)
+	if (!e->roster.limits.active_count)
 		return 1;
 	return tr_membership_recent_share(&e->members, entry_now(e));
 }
--- a/lib/place.c
+++ b/lib/place.c
@@ -222,7 +222,7 @@
 	uint32_t limited_choice = TR_NO_ROW;
 	double sum = 0;
 
-	if (!roster->limits.holding)
+	if (!roster->limits.active_count)
 		return TR_NO_ROW;
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
--- a/lib/send_limit.c
+++ b/lib/send_limit.c
@@ -79,7 +79,7 @@
 /* Removes the row of a target that is gone. */
 void tr_send_limits_remove(struct tr_send_limits *limits, uint32_t row_index)
 {
-	limits->holding -= limits->rows[row_index].holds;
+	limits->active_count -= limits->rows[row_index].holds;
 	memset(&limits->rows[row_index], 0, sizeof(*limits->rows));
 }
 
@@ -151,7 +151,7 @@
 	l->rate_reported = rate;
 	if (was_active)
 		return TR_SEND_LIMIT_CHANGED;
-	limits->holding++;
+	limits->active_count++;
 	l->holds = true;
 	l->tokens = 0;
 	l->refilled_at = now;
@@ -167,7 +167,7 @@
 
 	if (!l->holds || named_at <= l->named_at)
 		return TR_SEND_LIMIT_SAME;
-	limits->holding--;
+	limits->active_count--;
 	l->holds = false;
 	l->named_at = named_at;
 	return TR_SEND_LIMIT_ENDED;
@@ -179,7 +179,7 @@
 {
 	struct tr_send_limit *l = &limits->rows[row_index];
 
-	limits->holding -= l->holds;
+	limits->active_count -= l->holds;
 	l->holds = false;
 }
 
--- a/lib/send_limit.h
+++ b/lib/send_limit.h
@@ -43,7 +43,7 @@
 	unsigned count;
 	unsigned capacity;
 	/* Limits that apply now. */
-	unsigned holding;
+	unsigned active_count;
 	/* Row at which the next message continues. */
 	uint32_t next_reported;
 };
--- a/tests/send_limit_test.cc
+++ b/tests/send_limit_test.cc
@@ -38,7 +38,7 @@
 TEST_F(SendLimit, StartsEmptyAndFillsAtTheRate)
 {
 	EXPECT_EQ(set_limit(2, now), TR_SEND_LIMIT_BEGAN);
-	EXPECT_EQ(limits.holding, 1u);
+	EXPECT_EQ(limits.active_count, 1u);
 	EXPECT_DOUBLE_EQ(tokens_after(0), 0);
 	EXPECT_DOUBLE_EQ(tokens_after(TR_MSEC(500)), 1);
 	EXPECT_DOUBLE_EQ(tokens_after(TR_SEC(60)), 2);
@@ -97,7 +97,7 @@
 		  TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(tr_send_limit_clear(&limits, row_index, now + TR_SEC(3)),
 		  TR_SEND_LIMIT_ENDED);
-	EXPECT_EQ(limits.holding, 0u);
+	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(set_limit(2, now + TR_SEC(2)), TR_SEND_LIMIT_SAME);
 	EXPECT_EQ(set_limit(2, now + TR_SEC(4)), TR_SEND_LIMIT_BEGAN);
 }
@@ -121,7 +121,7 @@
 	EXPECT_FALSE(tr_send_limit_is_stale(row(), now + TR_SEC(9)));
 	EXPECT_TRUE(tr_send_limit_is_stale(row(), now + TR_SEC(11)));
 	tr_send_limits_deactivate(&limits, row_index);
-	EXPECT_EQ(limits.holding, 0u);
+	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(set_limit(1, now + TR_MSEC(1)), TR_SEND_LIMIT_BEGAN);
 }
 
@@ -153,7 +153,7 @@
 
 	set_limit(1, now);
 	tr_send_limits_remove(&limits, row_index);
-	EXPECT_EQ(limits.holding, 0u);
+	EXPECT_EQ(limits.active_count, 0u);
 	EXPECT_EQ(tr_send_limits_add(&limits, 9), row_index);
 	EXPECT_EQ(limits.rows[other].target, 8u);
 }
