--- a/lib/index.c
+++ b/lib/index.c
@@ -25,7 +25,7 @@
 {
 	uint32_t mixed = key * MULTIPLIER;
 
-	return (mixed ^ mixed >> 16) & (x->room - 1);
+	return (mixed ^ mixed >> 16) & (x->capacity - 1);
 }
 
 static void insert(struct tr_index *x, uint32_t key, uint32_t row)
@@ -33,7 +33,7 @@
 	uint32_t at = home_slot(x, key);
 
 	while (x->slots[at].row < TOMBSTONE)
-		at = (at + 1) & (x->room - 1);
+		at = (at + 1) & (x->capacity - 1);
 	x->occupied += x->slots[at].row == TR_NO_ROW;
 	x->entries++;
 	x->slots[at] = (struct tr_index_slot){ .key = key, .row = row };
@@ -43,16 +43,16 @@
 {
 	struct tr_index old = *x;
 
-	x->room = MIN_CAPACITY;
-	while (x->room < old.entries * 4)
-		x->room *= 2;
-	x->slots = malloc(x->room * sizeof(*x->slots));
+	x->capacity = MIN_CAPACITY;
+	while (x->capacity < old.entries * 4)
+		x->capacity *= 2;
+	x->slots = malloc(x->capacity * sizeof(*x->slots));
 	if (!x->slots)
 		abort();
-	memset(x->slots, 0xff, x->room * sizeof(*x->slots));
+	memset(x->slots, 0xff, x->capacity * sizeof(*x->slots));
 	x->occupied = 0;
 	x->entries = 0;
-	for (uint32_t i = 0; i < old.room; i++)
+	for (uint32_t i = 0; i < old.capacity; i++)
 		if (old.slots[i].row < TOMBSTONE)
 			insert(x, old.slots[i].key, old.slots[i].row);
 	free(old.slots);
@@ -61,7 +61,7 @@
 /* Adds a row. Half of the slots stay empty to keep searches short. */
 void tr_index_add(struct tr_index *x, uint32_t key, uint32_t row)
 {
-	if ((x->occupied + 1) * 2 > x->room)
+	if ((x->occupied + 1) * 2 > x->capacity)
 		rehash(x);
 	insert(x, key, row);
 }
@@ -87,7 +87,7 @@
 
 		if (slot->key == key && slot->row < TOMBSTONE)
 			return slot->row;
-		*at = (*at + 1) & (x->room - 1);
+		*at = (*at + 1) & (x->capacity - 1);
 	}
 	return TR_NO_ROW;
 }
@@ -98,7 +98,7 @@
  */
 uint32_t tr_index_first(const struct tr_index *x, uint32_t key, uint32_t *at)
 {
-	if (!x->room)
+	if (!x->capacity)
 		return TR_NO_ROW;
 	*at = home_slot(x, key);
 	return search(x, key, at);
@@ -107,7 +107,7 @@
 /* Returns the next row with the key after the one found last, or TR_NO_ROW. */
 uint32_t tr_index_next(const struct tr_index *x, uint32_t key, uint32_t *at)
 {
-	*at = (*at + 1) & (x->room - 1);
+	*at = (*at + 1) & (x->capacity - 1);
 	return search(x, key, at);
 }
 
--- a/lib/index.h
+++ b/lib/index.h
@@ -13,7 +13,7 @@
 /* Finds rows of a table by a 32-bit key. Several rows may share a key. */
 struct tr_index {
 	struct tr_index_slot *slots;
-	uint32_t room;
+	uint32_t capacity;
 	/* Slots that hold an entry or a tombstone. */
 	uint32_t occupied;
 	uint32_t entries;
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -241,7 +241,7 @@
 		if (i >= 100)
 			tr_index_remove(&x, i - 100, i - 100);
 	}
-	EXPECT_LE(x.room, 1024u);
+	EXPECT_LE(x.capacity, 1024u);
 	tr_index_release(&x);
 }
 
