--- a/tests/send_limit_load_test.cc
+++ b/tests/send_limit_load_test.cc
@@ -64,7 +64,7 @@
 	explicit Fleet(const Load &l) : load(l), random(l.seed), vms(l.vms)
 	{
 		for (unsigned i = 0; i < vms.size(); i++)
-			start_vm(i);
+			begin(i);
 	}
 
 	~Fleet()
@@ -83,8 +83,8 @@
 
 			set_cut(t);
 			if (load.restarts && t % TR_SEC(1) == 0)
-				start_vm((unsigned)(t / TR_SEC(1)) %
-					 (unsigned)vms.size());
+				begin((unsigned)(t / TR_SEC(1)) %
+				      (unsigned)vms.size());
 			deliver();
 			for (int n = poisson(rate * (double)STEP / 1e6); n; n--)
 				send_request(below((unsigned)vms.size()), rate);
@@ -132,7 +132,7 @@
 	 * State of a VM that has just started and received a report of the
 	 * limit.
 	 */
-	void start_vm(unsigned i)
+	void begin(unsigned i)
 	{
 		Vm &vm = vms[i];
 
