--- a/lib/allowance.c
+++ b/lib/allowance.c
@@ -76,7 +76,7 @@
 /*
  * How many repeats the VM that owns the bucket may send in a window, from its
  * average request rate. With the requests of the current window alone each VM
- * would send most in the windows in which it happens to receive most.
+ * would send most in the windows in which it happens to get most requests.
  */
 static double vm_budget(const struct tr_repeat_bucket *bucket,
 			const struct tr_repeat_bound *bound, apr_time_t now)
--- a/lib/organisation.c
+++ b/lib/organisation.c
@@ -115,13 +115,13 @@
 struct tr_organisation *tr_organisations_find(const struct tr_organisations *o,
 					      const char *key)
 {
-	struct tr_api_key wanted;
+	struct tr_api_key key_digest;
 	const struct tr_api_key *found;
 
 	if (!key || !*key || !o->keys_count)
 		return NULL;
-	compute_digest(o, key, wanted.digest);
-	found = bsearch(&wanted, o->keys, o->keys_count, sizeof(*o->keys),
+	compute_digest(o, key, key_digest.digest);
+	found = bsearch(&key_digest, o->keys, o->keys_count, sizeof(*o->keys),
 			compare);
 	return found ? &o->rows[found->organisation] : NULL;
 }
--- a/lib/proof.h
+++ b/lib/proof.h
@@ -15,10 +15,7 @@
 struct tr_proof {
 	/* 0 if there is no proof. */
 	apr_time_t at;
-	/*
-	 * The open query: its random number, or 0, when it was sent and to
-	 * whom.
-	 */
+	/* The open query: its random number, or 0, send time and address. */
 	uint64_t question;
 	apr_time_t query_sent_at;
 	uint32_t queried_ip;
--- a/tests/allowance_load_test.cc
+++ b/tests/allowance_load_test.cc
@@ -395,7 +395,7 @@
 			fleet.play(TR_SEC(14), size.a_second);
 			EXPECT_LE(fleet.max_use(), 1.0)
 				<< size.vms << " VMs, " << size.a_second
-				<< " requests a second, news after " << late;
+				<< " requests a second, reports after " << late;
 		}
 	}
 }
--- a/tests/fatal_load_test.cc
+++ b/tests/fatal_load_test.cc
@@ -44,7 +44,7 @@
 	struct tr_random random {
 	};
 	apr_time_t reported_at = 0;
-	bool news = false;
+	bool changed = false;
 };
 
 /* How often a request that waits for another is checked. */
@@ -105,7 +105,7 @@
 					    may_repeat });
 			return;
 		case TR_FATAL_TRY:
-			v.news = true;
+			v.changed = true;
 			break;
 		default:
 			break;
@@ -134,7 +134,7 @@
 
 			tr_fatal_ended(&vm.fatals, identity, &end, &vm.random,
 				       now);
-			vm.news = true;
+			vm.changed = true;
 		}
 	}
 
@@ -143,7 +143,7 @@
 		Vm &vm = vms[below((unsigned)vms.size())];
 
 		tr_fatal_answered(&vm.fatals, identity, now);
-		vm.news = true;
+		vm.changed = true;
 	}
 
 	unsigned refusing_vms(uint64_t identity)
@@ -210,7 +210,7 @@
 
 			tr_fatal_ended(&vm.fatals, r.identity, &end, &vm.random,
 				       now);
-			vm.news = true;
+			vm.changed = true;
 			if (++ended == 3)
 				third_ended = now;
 			if (r.may_repeat &&
@@ -253,24 +253,25 @@
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
 			struct tr_fatal rows[ROWS];
-			unsigned news, n;
+			unsigned changed, n;
 
-			if (!vm.news && now - vm.reported_at < PERIOD)
+			if (!vm.changed && now - vm.reported_at < PERIOD)
 				continue;
-			vm.news = false;
+			vm.changed = false;
 			vm.reported_at = now;
-			news = tr_fatal_collect_changed(&vm.fatals, rows, ROWS,
-							now);
-			n = news + tr_fatal_collect_recent(
-					   &vm.fatals, &rows[news],
-					   std::min(ROWS - news, AGAIN), now);
+			changed = tr_fatal_collect_changed(&vm.fatals, rows,
+							   ROWS, now);
+			n = changed + tr_fatal_collect_recent(
+					      &vm.fatals, &rows[changed],
+					      std::min(ROWS - changed, AGAIN),
+					      now);
 			to_group(i / load.group, rows, n, i);
 			/*
 			 * Changes are sent at once, the rest when the group's
 			 * turn comes.
 			 */
-			if (news || chance((double)PERIOD / (double)SUMMARY /
-					   load.group))
+			if (changed || chance((double)PERIOD / (double)SUMMARY /
+					      load.group))
 				to_other_groups(i, rows, n);
 		}
 	}
--- a/tests/limit_load_test.cc
+++ b/tests/limit_load_test.cc
@@ -270,7 +270,7 @@
 		in_transit.push_back(reported);
 	}
 
-	void tell(unsigned from)
+	void send_totals(unsigned from)
 	{
 		for (unsigned to = 0; to < load.vms; to++)
 			if (group_of(to) == group_of(from))
@@ -331,7 +331,7 @@
 				arrivals(dt);
 			for (unsigned vm = 0; vm < load.vms; vm++)
 				if ((vm + (unsigned)i) % 8 == 0)
-					tell(vm);
+					send_totals(vm);
 			if (i % 25 == 0)
 				summaries();
 			deliver_reports();
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -638,7 +638,7 @@
 {
 	tr_repeat_bound bound = { 0.2, 56, TR_SEC(10), 32, 32 };
 	std::vector<tr_allowance> vms(32);
-	std::vector<tr_work_totals> told(32);
+	std::vector<tr_work_totals> reported(32);
 	apr_time_t now = TR_SEC(1000);
 	int repeats = 0;
 
@@ -654,9 +654,9 @@
 			for (size_t o = 0; o < 32; o++)
 				if (o != v)
 					tr_allowance_reported(&vms[o], &bound,
-							      &told[v], &own,
-							      now, now);
-			told[v] = own;
+							      &reported[v],
+							      &own, now, now);
+			reported[v] = own;
 		}
 	}
 	EXPECT_GT(repeats, 1000 * 0.2 * 0.85 + 56 * 0.85);
@@ -672,20 +672,21 @@
 TEST(Allowance, NoSpanOfTheWindowsLengthExceedsTheBound)
 {
 	tr_repeat_bound bound = { 0, 50, TR_SEC(10), 1, 1 };
-	std::vector<apr_time_t> spent;
+	std::vector<apr_time_t> sent_at;
 	tr_allowance vm{};
 
 	for (apr_time_t now = TR_SEC(1001) + TR_MSEC(500); now < TR_SEC(1040);
 	     now += TR_MSEC(10))
 		if (tr_allowance_spend(&vm, &bound, now))
-			spent.push_back(now);
-	for (size_t i = 0; i < spent.size(); i++) {
+			sent_at.push_back(now);
+	for (size_t i = 0; i < sent_at.size(); i++) {
 		auto in_span = [&](apr_time_t at) {
-			return at >= spent[i] && at < spent[i] + TR_SEC(10);
+			return at >= sent_at[i] && at < sent_at[i] + TR_SEC(10);
 		};
 
-		EXPECT_LE(std::count_if(spent.begin(), spent.end(), in_span),
-			  50);
+		EXPECT_LE(
+			std::count_if(sent_at.begin(), sent_at.end(), in_span),
+			50);
 	}
 }
 
@@ -711,9 +712,9 @@
 	tr_repeat_bound bound = { 0.2, 0, TR_SEC(10), 1, 1 };
 	tr_allowance a{};
 	tr_work_totals before = { 65530, 10 };
-	tr_work_totals told = { 4, 10 };
+	tr_work_totals reported = { 4, 10 };
 
-	tr_allowance_reported(&a, &bound, &before, &told, TR_SEC(1000),
+	tr_allowance_reported(&a, &bound, &before, &reported, TR_SEC(1000),
 			      TR_SEC(1000));
 	EXPECT_EQ(a.requests[a.part % TR_ALLOWANCE_SLOTS], 10u);
 	EXPECT_EQ(a.repeats[a.part % TR_ALLOWANCE_SLOTS], 0u);
--- a/tests/send_limit_load_test.cc
+++ b/tests/send_limit_load_test.cc
@@ -96,7 +96,7 @@
 	 * The most requests sent in any window after the start of the
 	 * measurement.
 	 */
-	unsigned most() const
+	unsigned max_sent() const
 	{
 		std::deque<apr_time_t> in;
 		size_t n = 0;
@@ -246,7 +246,7 @@
 		       apr_time_t span = TR_SEC(30))
 {
 	double used = 0;
-	unsigned most = 0;
+	unsigned max_sent = 0;
 
 	for (unsigned seed = 1; seed <= seeds; seed++) {
 		Load l = load;
@@ -254,14 +254,14 @@
 		Fleet fleet(l);
 
 		fleet.play(span);
-		EXPECT_LE(fleet.most(), fleet.allowed())
+		EXPECT_LE(fleet.max_sent(), fleet.allowed())
 			<< "seed " << seed << " limit " << load.limit << " VMs "
 			<< load.vms;
-		most = std::max(most, fleet.most());
+		max_sent = std::max(max_sent, fleet.max_sent());
 		used += fleet.used() / seeds;
 	}
 	printf("vms=%u wanted=%g limit=%g loss=%g: most %u of %g, used %.2f\n",
-	       load.vms, load.demand, load.limit, load.loss, most,
+	       load.vms, load.demand, load.limit, load.loss, max_sent,
 	       OVER * load.limit * 4 + SLACK, used);
 }
 
--- a/tests/spread_test.cc
+++ b/tests/spread_test.cc
@@ -195,7 +195,7 @@
 /*
  * Guards against a fleet in which most VMs keep the old configuration. The only
  * two VMs that had the new one died when eight others had it too, and the rest
- * kept fetching the first two.
+ * kept requesting it from the first two.
  */
 TEST(Spread, OtherSourcesAreUsedWhenTheFirstAreLost)
 {
