--- a/entry/dialect.h
+++ b/entry/dialect.h
@@ -47,10 +47,10 @@
 
 	/* Calls from callers and from the platform. */
 	const char *lookup_path;
-	const char *lookup_data_centre;
-	const char *ready_path;
-	char *(*lookup_answer)(char **addresses, unsigned count,
-			       apr_time_t keep);
+	const char *lookup_data_centre_param;
+	const char *readiness_path;
+	char *(*format_lookup_reply)(char **addresses, unsigned count,
+				     apr_time_t keep);
 
 	/* The platform's store. */
 	const char *everything;
@@ -60,8 +60,8 @@
 	int (*read_page)(const char *body, size_t len, struct store_page *page,
 			 struct tr_error *err);
 	int history_lost_status;
-	bool (*is_routes)(const char *key);
-	bool (*is_target)(const char *key);
+	bool (*is_routes_key)(const char *key);
+	bool (*is_target_key)(const char *key);
 	struct tr_routes *(*read_routes)(const struct store_item *item,
 					 struct tr_error *err);
 	int (*read_target)(const struct store_item *item,
--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -99,7 +99,7 @@
 		return;
 	}
 	e->counts.lookups++;
-	centre = query(caller, e->dialect->lookup_data_centre);
+	centre = query(caller, e->dialect->lookup_data_centre_param);
 	n = list(e, centre, out, ADDRESSES_MOST);
 	if (n < OWN_CENTRE_LEAST) {
 		free_list(out, n);
@@ -108,7 +108,8 @@
 	/* A VM that knows of nobody names itself, rather than nobody. */
 	if (!n)
 		out[n++] = g_strdup(e->settings->front);
-	text = e->dialect->lookup_answer(out, n, e->settings->keep_most_us);
+	text = e->dialect->format_lookup_reply(out, n,
+					       e->settings->keep_most_us);
 	free_list(out, n);
 	answer_text(caller, 200, "application/json", text);
 }
@@ -117,7 +118,7 @@
 {
 	struct entry *e = ctx;
 
-	if (!path_is(caller, e->dialect->ready_path))
+	if (!path_is(caller, e->dialect->readiness_path))
 		answer_text(caller, 404, "text/plain", "no such call\n");
 	else if (entry_takes_callers(e))
 		answer_text(caller, 200, "text/plain", "ready\n");
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -179,11 +179,11 @@
 {
 	struct tr_error err = { 0 };
 
-	if (e->dialect->is_routes(item->key)) {
+	if (e->dialect->is_routes_key(item->key)) {
 		entry_offer_routes(e, item, from);
 		return false;
 	}
-	if (!e->dialect->is_target(item->key))
+	if (!e->dialect->is_target_key(item->key))
 		return false;
 	if (e->dialect->read_target(item, record, &err)) {
 		refuse_target(e, item, record, &err, from);
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -125,7 +125,7 @@
 			     x);
 	/* Before the others send one too. */
 	if (p->for_floor)
-		mesh_tell_now(e->mesh);
+		mesh_broadcast_now(e->mesh);
 	return res;
 }
 
--- a/entry/exchange_fatal.c
+++ b/entry/exchange_fatal.c
@@ -65,7 +65,7 @@
 		eventlog(EVENT_BELIEF, "fatal-request",
 			 "identity=%016" PRIx64 " state=tried id=%s",
 			 x->identity, x->id);
-		mesh_tell_now(e->mesh);
+		mesh_broadcast_now(e->mesh);
 	}
 	if (verdict == TR_FATAL_REFUSE)
 		e->counts.fatal++;
@@ -98,8 +98,8 @@
 				   tr_fatal_ended(&e->fatals, x->identity, &end,
 						  &e->random, now));
 		if (u->ends_known)
-			mesh_tell_now(e->mesh);
+			mesh_broadcast_now(e->mesh);
 		else
-			mesh_tell_soon(e->mesh);
+			mesh_schedule_report(e->mesh);
 	}
 }
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -35,7 +35,7 @@
 	caller->counted = true;
 	tr_limit_arrived(&e->limits.rows[o->row_index], &e->limit_bound,
 			 entry_now(e));
-	mesh_tell_soon(e->mesh);
+	mesh_schedule_report(e->mesh);
 }
 
 /* Has the organisation anything left of its limit? */
--- a/entry/kept.c
+++ b/entry/kept.c
@@ -32,9 +32,9 @@
  * within the time that they rest. */
 #define KEPT_MOST 128
 
-struct kept_stream {
+struct pooled_stream {
 	struct entry *e;
-	struct kept_stream *next;
+	struct pooled_stream *next;
 	struct stream stream;
 	uint32_t row;
 	uint32_t hash;
@@ -42,10 +42,10 @@
 	apr_time_t until;
 };
 
-static void drop(struct kept_stream *k)
+static void drop(struct pooled_stream *k)
 {
 	struct kept *kept = &k->e->kept;
-	struct kept_stream **at = &kept->first;
+	struct pooled_stream **at = &kept->first;
 
 	while (*at != k)
 		at = &(*at)->next;
@@ -76,11 +76,11 @@
 	.ended = ended,
 };
 
-static struct kept_stream *oldest(const struct kept *kept)
+static struct pooled_stream *oldest(const struct kept *kept)
 {
-	struct kept_stream *found = kept->first;
+	struct pooled_stream *found = kept->first;
 
-	for (struct kept_stream *k = kept->first; k; k = k->next)
+	for (struct pooled_stream *k = kept->first; k; k = k->next)
 		if (k->since < found->since)
 			found = k;
 	return found;
@@ -88,11 +88,11 @@
 
 /* Keep the connection, which the target lets rest for so long. The stream is
  * taken over. */
-void kept_put(struct entry *e, struct stream *stream, uint32_t row,
-	      uint32_t hash, apr_time_t rest)
+void conn_pool_put(struct entry *e, struct stream *stream, uint32_t row,
+		   uint32_t hash, apr_time_t rest)
 {
 	struct kept *kept = &e->kept;
-	struct kept_stream *k = calloc(1, sizeof(*k));
+	struct pooled_stream *k = calloc(1, sizeof(*k));
 
 	if (!k) {
 		stream_close(stream);
@@ -120,14 +120,14 @@
 
 /* The target's connection that rested shortest, if there is one that may be
  * used. rested says how long it did, in us. */
-bool kept_take(struct entry *e, uint32_t row, uint32_t hash,
-	       struct stream *stream, const struct stream_calls *calls,
-	       void *ctx, apr_time_t *rested)
+bool conn_pool_get(struct entry *e, uint32_t row, uint32_t hash,
+		   struct stream *stream, const struct stream_calls *calls,
+		   void *ctx, apr_time_t *rested)
 {
 	apr_time_t now = entry_now(e);
-	struct kept_stream *found = NULL;
+	struct pooled_stream *found = NULL;
 
-	for (struct kept_stream *k = e->kept.first; k; k = k->next)
+	for (struct pooled_stream *k = e->kept.first; k; k = k->next)
 		if (k->row == row && k->hash == hash && now < k->until &&
 		    now - k->since <= rest_most(&e->kept) &&
 		    (!found || k->since > found->since))
@@ -141,23 +141,23 @@
 }
 
 /* One that had rested so long was dead: older ones may be too. */
-void kept_was_dead(struct entry *e, apr_time_t rested)
+void conn_pool_report_dead(struct entry *e, apr_time_t rested)
 {
 	apr_time_t most = (apr_time_t)(REST_DEAD_PART * (double)rested);
 	apr_time_t now = entry_now(e);
-	struct kept_stream *next;
+	struct pooled_stream *next;
 
 	if (most < rest_most(&e->kept))
 		e->kept.rest_most = most > REST_LEAST ? most : REST_LEAST;
 	e->kept.learned_at = now;
-	for (struct kept_stream *k = e->kept.first; k; k = next) {
+	for (struct pooled_stream *k = e->kept.first; k; k = next) {
 		next = k->next;
 		if (now - k->since > e->kept.rest_most)
 			drop(k);
 	}
 }
 
-static bool is_over(const struct kept_stream *k, apr_time_t now)
+static bool is_over(const struct pooled_stream *k, apr_time_t now)
 {
 	const struct tr_instance *row = &k->e->roster.rows[k->row];
 
@@ -167,13 +167,13 @@
 
 /* Close what has rested long enough, or whose target leaves; call some times a
  * second. */
-void kept_step(struct entry *e)
+void conn_pool_expire(struct entry *e)
 {
 	struct kept *kept = &e->kept;
 	apr_time_t now = entry_now(e);
-	struct kept_stream *next;
+	struct pooled_stream *next;
 
-	for (struct kept_stream *k = kept->first; k; k = next) {
+	for (struct pooled_stream *k = kept->first; k; k = next) {
 		next = k->next;
 		if (is_over(k, now))
 			drop(k);
@@ -186,7 +186,7 @@
 		kept->rest_most = REST_FIRST;
 }
 
-void kept_release(struct entry *e)
+void conn_pool_clear(struct entry *e)
 {
 	while (e->kept.first)
 		drop(e->kept.first);
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -137,27 +137,27 @@
 		} else {
 			if (procedure == MESH_HAND_ON)
 				mesh_hand_on(mesh, buf, (size_t)n);
-			mesh_take(mesh, &msg, msg.sender);
+			mesh_handle_message(mesh, &msg, msg.sender);
 		}
 		xdr_free((xdrproc_t)xdr_mesh_message, (char *)&msg);
 	}
 }
 
 /* Something that others should know soon has changed. */
-void mesh_tell_soon(struct mesh *mesh)
+void mesh_schedule_report(struct mesh *mesh)
 {
 	mesh->soon = true;
 }
 
 /* The list was just read from the store: pass on what changed, and its age. */
-void mesh_tell_list(struct mesh *mesh)
+void mesh_broadcast_list(struct mesh *mesh)
 {
 	mesh->lists = true;
 	tell_all(mesh);
 }
 
 /* Tell at once, without regard to the pace. */
-void mesh_tell_now(struct mesh *mesh)
+void mesh_broadcast_now(struct mesh *mesh)
 {
 	tell_all(mesh);
 	mesh_away_tell(mesh, entry_now(mesh->e));
@@ -244,7 +244,7 @@
 }
 
 /* Learn the seeds of the settings; they are called like lost VMs. */
-void mesh_seeds(struct mesh *mesh)
+void mesh_add_seeds(struct mesh *mesh)
 {
 	const struct entry_settings *s = mesh->e->settings;
 	struct sockaddr_in seed;
@@ -258,7 +258,7 @@
 /* So that others of the group can ask this VM for what it has pulled. */
 static void pulled(struct entry *e)
 {
-	mesh_tell_now(e->mesh);
+	mesh_broadcast_now(e->mesh);
 }
 
 /* Begin to listen and to call the seeds. NULL and err without the port. */
@@ -287,7 +287,7 @@
 	}
 	/* Keeps datagrams of another fleet out; it is no secret. */
 	mesh->fleet = (uint32_t)tr_hash_string(s->store) ^ s->peer_port;
-	mesh_seeds(mesh);
+	mesh_add_seeds(mesh);
 	loop_watch(e->loop, mesh->fd, LOOP_READ, readable, mesh);
 	return mesh;
 }
--- a/entry/mesh_away.c
+++ b/entry/mesh_away.c
@@ -224,8 +224,8 @@
 }
 
 /* Take in what another group says of its VMs and targets. */
-void mesh_take_summary(struct mesh *mesh, struct tr_node *node,
-		       const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_summary(struct mesh *mesh, struct tr_node *node,
+			 const struct mesh_message *msg, apr_time_t now)
 {
 	(void)node;
 	for (u_int i = 0; i < msg->members.members_len; i++)
--- a/entry/mesh_changes.c
+++ b/entry/mesh_changes.c
@@ -119,8 +119,8 @@
 }
 
 /* Take in what has changed in the platform's list. */
-void mesh_take_changes(struct mesh *mesh, struct tr_node *node,
-		       const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_changes(struct mesh *mesh, struct tr_node *node,
+			 const struct mesh_message *msg, apr_time_t now)
 {
 	(void)node;
 	(void)now;
--- a/entry/mesh_fatal.c
+++ b/entry/mesh_fatal.c
@@ -157,8 +157,8 @@
 }
 
 /* Take in what another VM, of this group or another, tells. */
-void mesh_take_fatals(struct mesh *mesh, struct tr_node *node,
-		      const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_fatals(struct mesh *mesh, struct tr_node *node,
+			const struct mesh_message *msg, apr_time_t now)
 {
 	(void)node;
 	for (u_int i = 0; i < msg->fatals.fatals_len; i++)
--- a/entry/mesh_internal.h
+++ b/entry/mesh_internal.h
@@ -126,18 +126,19 @@
 void mesh_forget_reports(struct mesh *mesh, struct tr_node *node);
 void mesh_forget_node(struct mesh *mesh, struct tr_node *node, apr_time_t now);
 
-/* What takes in one part of a message; see mesh_take.c. */
-typedef void mesh_take_fn(struct mesh *mesh, struct tr_node *node,
-			  const struct mesh_message *msg, apr_time_t now);
+/* What takes in one part of a message; see mesh_handle_message.c. */
+typedef void mesh_handler_fn(struct mesh *mesh, struct tr_node *node,
+			     const struct mesh_message *msg, apr_time_t now);
 
-mesh_take_fn mesh_take_changes;
-mesh_take_fn mesh_take_rows;
-mesh_take_fn mesh_take_fatals;
-mesh_take_fn mesh_take_limits;
-mesh_take_fn mesh_take_notices;
-mesh_take_fn mesh_take_proof;
-mesh_take_fn mesh_take_nodes;
-mesh_take_fn mesh_take_summary;
-void mesh_take(struct mesh *mesh, const struct mesh_message *msg, uint32_t ip);
+mesh_handler_fn mesh_handle_changes;
+mesh_handler_fn mesh_handle_rows;
+mesh_handler_fn mesh_handle_fatals;
+mesh_handler_fn mesh_handle_limits;
+mesh_handler_fn mesh_handle_notices;
+mesh_handler_fn mesh_handle_proof;
+mesh_handler_fn mesh_handle_nodes;
+mesh_handler_fn mesh_handle_summary;
+void mesh_handle_message(struct mesh *mesh, const struct mesh_message *msg,
+			 uint32_t ip);
 
 #endif
--- a/entry/mesh_limits.c
+++ b/entry/mesh_limits.c
@@ -81,8 +81,8 @@
 }
 
 /* Take in what another VM, or another group, says of organisations. */
-void mesh_take_limits(struct mesh *mesh, struct tr_node *node,
-		      const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_limits(struct mesh *mesh, struct tr_node *node,
+			const struct mesh_message *msg, apr_time_t now)
 {
 	for (u_int i = 0; node->near && i < msg->uses.uses_len; i++)
 		take_use(mesh, node, &msg->uses.uses_val[i], now);
--- a/entry/mesh_nodes.c
+++ b/entry/mesh_nodes.c
@@ -77,8 +77,8 @@
 }
 
 /* Learn the VMs that a message names. */
-void mesh_take_nodes(struct mesh *mesh, struct tr_node *node,
-		     const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_nodes(struct mesh *mesh, struct tr_node *node,
+		       const struct mesh_message *msg, apr_time_t now)
 {
 	(void)node;
 	(void)now;
--- a/entry/mesh_notices.c
+++ b/entry/mesh_notices.c
@@ -166,15 +166,15 @@
 }
 
 /* Take in what another VM, of this group or another, tells. */
-void mesh_take_notices(struct mesh *mesh, struct tr_node *node,
-		       const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_notices(struct mesh *mesh, struct tr_node *node,
+			 const struct mesh_message *msg, apr_time_t now)
 {
 	for (u_int i = 0; i < msg->leaving.leaving_len; i++) {
 		struct tr_instance *row = tr_roster_by_hash(
 			&mesh->e->roster, msg->leaving.leaving_val[i]);
 
 		if (row && row->used)
-			notices_take_leaving(mesh->e, row, "peer");
+			notices_mark_leaving(mesh->e, row, "peer");
 	}
 	for (u_int i = 0; i < msg->limits.limits_len; i++)
 		take_limit(mesh, node, &msg->limits.limits_val[i], now);
@@ -192,7 +192,7 @@
 
 /* Tell all, and the other groups, whose VMs may send there as well, what this
  * VM has just heard of a target's limit. */
-void mesh_tell_limit(struct mesh *mesh, uint32_t place)
+void mesh_broadcast_limit(struct mesh *mesh, uint32_t place)
 {
 	apr_time_t now = entry_now(mesh->e);
 	struct mesh_limit limit;
@@ -206,7 +206,7 @@
 }
 
 /* The same where a target has said that it leaves. */
-void mesh_tell_leaving(struct mesh *mesh, uint32_t target)
+void mesh_broadcast_leaving(struct mesh *mesh, uint32_t target)
 {
 	apr_time_t now = entry_now(mesh->e);
 	struct mesh_message msg;
--- a/entry/mesh_proof.c
+++ b/entry/mesh_proof.c
@@ -36,8 +36,8 @@
  * Answer the VM's question, or take its answer. What it holds was the newest
  * when its proof says; so what this VM holds was too, if it is not older.
  */
-void mesh_take_proof(struct mesh *mesh, struct tr_node *node,
-		     const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_proof(struct mesh *mesh, struct tr_node *node,
+		       const struct mesh_message *msg, apr_time_t now)
 {
 	struct entry *e = mesh->e;
 
--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -314,8 +314,8 @@
 
 /* How many repeats for the service VMs of the group that are silent may have
  * sent since they were heard. */
-double mesh_untold_repeats(const struct entry *e, uint32_t service,
-			   apr_time_t now)
+double mesh_unreported_repeats(const struct entry *e, uint32_t service,
+			       apr_time_t now)
 {
 	const struct tr_membership *m = &e->members;
 	uint32_t hash = mesh_service_hash(e, service);
@@ -331,8 +331,8 @@
 }
 
 /* Take in what another VM did at targets. */
-void mesh_take_rows(struct mesh *mesh, struct tr_node *node,
-		    const struct mesh_message *msg, apr_time_t now)
+void mesh_handle_rows(struct mesh *mesh, struct tr_node *node,
+		      const struct mesh_message *msg, apr_time_t now)
 {
 	for (u_int i = 0; i < msg->work.work_len; i++)
 		take_work(mesh, node, &msg->work.work_val[i], now);
--- a/entry/mesh_take.c
+++ b/entry/mesh_take.c
@@ -17,14 +17,15 @@
 
 /* What the parts of a message are taken in by, in this order: with the VMs that
  * it names the sender's row may move, so what follows must not look at it. */
-static mesh_take_fn *const takers[] = {
-	mesh_take_changes, mesh_take_rows,    mesh_take_fatals,
-	mesh_take_limits,  mesh_take_notices, mesh_take_proof,
-	take_list,	   mesh_take_nodes,   mesh_take_summary,
+static mesh_handler_fn *const takers[] = {
+	mesh_handle_changes, mesh_handle_rows,	  mesh_handle_fatals,
+	mesh_handle_limits,  mesh_handle_notices, mesh_handle_proof,
+	take_list,	     mesh_handle_nodes,	  mesh_handle_summary,
 };
 
 /* Take in a message of the VM at the address. */
-void mesh_take(struct mesh *mesh, const struct mesh_message *msg, uint32_t ip)
+void mesh_handle_message(struct mesh *mesh, const struct mesh_message *msg,
+			 uint32_t ip)
 {
 	struct entry *e = mesh->e;
 	struct tr_node_status news = {
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -69,12 +69,12 @@
 	l->changed |= change != TR_SEND_LIMIT_SAME;
 	notices_log_limit(row, l, change, "answer");
 	if (change == TR_SEND_LIMIT_BEGAN || change == TR_SEND_LIMIT_ENDED)
-		mesh_tell_limit(e->mesh, place);
+		mesh_broadcast_limit(e->mesh, place);
 }
 
 /* The target has said that it leaves, to this VM or another. True when that is
  * news here. */
-bool notices_take_leaving(struct entry *e, struct tr_instance *row,
+bool notices_mark_leaving(struct entry *e, struct tr_instance *row,
 			  const char *from)
 {
 	if (!tr_roster_mark_leaving(&e->roster, row))
@@ -103,8 +103,8 @@
  * Take in what the target in the row says in an answer's head. hash tells its
  * start: another one, which has the row by now, has said nothing.
  */
-void notices_heard(struct entry *e, uint32_t at, uint32_t hash,
-		   const struct message *answer)
+void notices_handle(struct entry *e, uint32_t at, uint32_t hash,
+		    const struct message *answer)
 {
 	struct tr_instance *row = &e->roster.rows[at];
 	struct tr_notice notice;
@@ -116,8 +116,8 @@
 		log_unreadable(e, row, "limit", "requests a second");
 	else
 		take_limit(e, row, &notice, answer->parser.status_code);
-	if (notice.leaving && notices_take_leaving(e, row, "answer"))
-		mesh_tell_leaving(e->mesh, row->hash);
+	if (notice.leaving && notices_mark_leaving(e, row, "answer"))
+		mesh_broadcast_leaving(e->mesh, row->hash);
 	if (notice.rest_state == TR_NOTICE_INVALID)
 		log_unreadable(e, row, "rest", "seconds");
 	else if (notice.rest_state == TR_NOTICE_GIVEN)
--- a/entry/pack.c
+++ b/entry/pack.c
@@ -14,7 +14,7 @@
 #define LEVEL 1
 
 /* The text packed, for g_bytes_unref; NULL without memory. */
-GBytes *pack_bytes(const char *text, size_t len)
+GBytes *pack_compress(const char *text, size_t len)
 {
 	uLongf size = compressBound(len);
 	Bytef *out = g_malloc(size);
@@ -30,7 +30,8 @@
  * The text of what was packed, of at most so many bytes; NULL when it is
  * damaged, cut short or larger. It ends with a NUL that is not counted.
  */
-char *pack_open(const void *packed, size_t len, size_t most, size_t *text_len)
+char *pack_decompress(const void *packed, size_t len, size_t most,
+		      size_t *text_len)
 {
 	uLongf size = most;
 	uLong used = len;
--- a/entry/pack.h
+++ b/entry/pack.h
@@ -3,7 +3,8 @@
 
 #include <glib.h>
 
-GBytes *pack_bytes(const char *text, size_t len);
-char *pack_open(const void *packed, size_t len, size_t most, size_t *text_len);
+GBytes *pack_compress(const char *text, size_t len);
+char *pack_decompress(const void *packed, size_t len, size_t most,
+		      size_t *text_len);
 
 #endif
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -49,7 +49,8 @@
 
 	if (!length || length > TEXT_MOST)
 		return NULL;
-	text = pack_open(answer->body->data, answer->body->len, length, len);
+	text = pack_decompress(answer->body->data, answer->body->len, length,
+			       len);
 	if (!text || *len != length ||
 	    tr_hash(text, *len) != number_in(answer, DIGEST))
 		return NULL;
@@ -257,7 +258,7 @@
 	if (pull->packed && pull->packed_revision == routes->revision)
 		return pull->packed;
 	g_clear_pointer(&pull->packed, g_bytes_unref);
-	pull->packed = pack_bytes(routes->text, routes->text_len);
+	pull->packed = pack_compress(routes->text, routes->text_len);
 	pull->packed_revision = routes->revision;
 	pull->packed_digest = tr_hash(routes->text, routes->text_len);
 	return pull->packed;
@@ -305,7 +306,7 @@
 	text = targets_json(pull->e);
 	g_clear_pointer(&pull->list, g_bytes_unref);
 	pull->list_length = strlen(text);
-	pull->list = pack_bytes(text, pull->list_length);
+	pull->list = pack_compress(text, pull->list_length);
 	pull->list_text_digest = tr_hash(text, pull->list_length);
 	pull->list_digest = digest;
 	pull->list_at = now;
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -115,7 +115,7 @@
 	r->next_at = now + PACE;
 	/* The store's answer was true at some time after it was asked. */
 	tr_roster_confirm(&e->roster, as_of, now - r->asked_at, now);
-	mesh_tell_list(e->mesh);
+	mesh_broadcast_list(e->mesh);
 }
 
 static void take_items(struct reader *r, const struct store_page *page)
@@ -300,13 +300,13 @@
 }
 
 /* The settings have changed. */
-void reader_settings(struct reader *r)
+void reader_reload(struct reader *r)
 {
 	stream_parse_address(r->e->settings->store, &r->store);
 }
 
 /* This process stood still: whatever was asked before is void. */
-void reader_woke(struct reader *r)
+void reader_reset(struct reader *r)
 {
 	fetcher_cancel(&r->fetch);
 	r->listing = false;
--- a/entry/reader.h
+++ b/entry/reader.h
@@ -5,8 +5,8 @@
 
 struct reader *reader_new(struct entry *e);
 void reader_step(struct reader *reader);
-void reader_settings(struct reader *reader);
-void reader_woke(struct reader *reader);
+void reader_reload(struct reader *reader);
+void reader_reset(struct reader *reader);
 void reader_free(struct reader *reader);
 
 #endif
--- a/entry/repeat.c
+++ b/entry/repeat.c
@@ -31,7 +31,7 @@
 	apr_time_t now = entry_now(e);
 	struct tr_allowance *a = entry_allowance(e, service);
 
-	a->unreported = mesh_untold_repeats(e, service, now);
+	a->unreported = mesh_unreported_repeats(e, service, now);
 	if (tr_allowance_spend(a, &e->repeat_bound, now)) {
 		e->counts.resent++;
 		return true;
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -101,8 +101,8 @@
 	d->settings = s;
 	e->settings = s;
 	entry_set_bounds(e);
-	reader_settings(e->reader);
-	mesh_seeds(e->mesh);
+	reader_reload(e->reader);
+	mesh_add_seeds(e->mesh);
 	eventlog(EVENT_LIFE, "reload", "seeds=%u store=%s", s->seeds_count,
 		 s->store);
 }
@@ -152,7 +152,7 @@
 	e->members.nodes[0].ready = takes;
 	eventlog(EVENT_BELIEF, takes ? "takes-callers" : "turns-callers-away",
 		 "proof_age_ms=%ld", e->proof.at ? (long)(age / 1000) : -1L);
-	mesh_tell_soon(e->mesh);
+	mesh_schedule_report(e->mesh);
 }
 
 static void step(void *ctx)
@@ -164,7 +164,7 @@
 	if (entry_paused(e, now)) {
 		eventlog(EVENT_LIFE, "paused", "for_ms=%ld",
 			 (long)((now - e->stepped_at) / 1000));
-		reader_woke(e->reader);
+		reader_reset(e->reader);
 		tr_limits_restart(&e->limits, now);
 	}
 	e->stepped_at = now;
@@ -173,7 +173,7 @@
 	tr_roster_step(&e->roster, now);
 	idle_step(e, now);
 	repeat_step(e, now);
-	kept_step(e);
+	conn_pool_expire(e);
 	reader_step(e->reader);
 	mesh_step(e->mesh);
 	look_at_proof(e);
@@ -181,7 +181,7 @@
 		e->ready = true;
 		eventlog(EVENT_LIFE, "ready", "version=%" PRIu64,
 			 e->routes->version);
-		mesh_tell_soon(e->mesh);
+		mesh_schedule_report(e->mesh);
 	}
 	if (d->stop_since)
 		step_stop(d, now);
@@ -206,7 +206,7 @@
 	e->members.nodes[0].leaving = true;
 	e->front.closing = true;
 	eventlog(EVENT_LIFE, "stop", "in_hand=%u", e->exchanges_count);
-	mesh_tell_now(e->mesh);
+	mesh_broadcast_now(e->mesh);
 }
 
 static int open_listener(struct daemon *d, struct listener *listener,
@@ -278,7 +278,7 @@
 
 	listener_close(&e->front);
 	exchange_end_all(e);
-	kept_release(e);
+	conn_pool_clear(e);
 	listener_close(&e->directory);
 	listener_close(&e->readiness);
 	listener_close(&e->metrics);
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -66,9 +66,9 @@
 		tr_service_stats_add_failure(
 			&u->e->roster.services[row->service], now - u->sent_at);
 	if (is_news)
-		mesh_tell_now(u->e->mesh);
+		mesh_broadcast_now(u->e->mesh);
 	else
-		mesh_tell_soon(u->e->mesh);
+		mesh_schedule_report(u->e->mesh);
 }
 
 static void say_answered(struct upstream *u, struct tr_instance *row)
@@ -156,7 +156,7 @@
 	if (!row)
 		return;
 	tr_roster_mark_dirty(&u->e->roster, row);
-	mesh_tell_soon(u->e->mesh);
+	mesh_schedule_report(u->e->mesh);
 	say_ended(u, row, how);
 }
 
@@ -181,7 +181,7 @@
 	apr_time_t rest = rest_of(u);
 
 	if (rest > 0)
-		kept_put(u->e, &u->stream, u->row, u->hash, rest);
+		conn_pool_put(u->e, &u->stream, u->row, u->hash, rest);
 }
 
 static void over(struct upstream *u, enum upstream_end how)
@@ -220,7 +220,7 @@
 	    u->answer.parser.status_code < 200 || !is_ours(u))
 		return;
 	u->noticed = true;
-	notices_heard(u->e, u->row, u->hash, &u->answer);
+	notices_handle(u->e, u->row, u->hash, &u->answer);
 }
 
 static void received(void *ctx, const char *data, size_t len)
@@ -370,7 +370,7 @@
 static void begin_again(struct upstream *u)
 {
 	u->e->counts.reused_dead++;
-	kept_was_dead(u->e, u->rested);
+	conn_pool_report_dead(u->e, u->rested);
 	u->rested = 0;
 	u->begun_again = true;
 	u->connected = false;
@@ -432,8 +432,8 @@
 /* Go on with a kept connection, if there is one. */
 static bool take_kept(struct upstream *u)
 {
-	if (!u->keeps || !kept_take(u->e, u->row, u->hash, &u->stream, &calls,
-				    u, &u->rested))
+	if (!u->keeps || !conn_pool_get(u->e, u->row, u->hash, &u->stream,
+					&calls, u, &u->rested))
 		return false;
 	u->e->counts.reused++;
 	send_it(u);
@@ -477,7 +477,7 @@
 	count_sent(u, row);
 	row->used_at = u->began;
 	tr_roster_mark_dirty(&u->e->roster, row);
-	mesh_tell_soon(e->mesh);
+	mesh_schedule_report(e->mesh);
 	u->active = true;
 	if (take_kept(u) || !connect_to(u, &calls))
 		return 0;
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -442,7 +442,7 @@
 
 			msg.rows.rows_val = in.rows->data();
 			msg.rows.rows_len = (u_int)in.rows->size();
-			mesh_take_rows(&vm.m, &vm.nodes[in.from], &msg, now);
+			mesh_handle_rows(&vm.m, &vm.nodes[in.from], &msg, now);
 			in_transit.erase(in_transit.begin());
 		}
 	}
--- a/tests/mesh_test.cc
+++ b/tests/mesh_test.cc
@@ -218,7 +218,7 @@
 
 		mesh_add_rows(&m, &msg, rows, 1400);
 		if (!lost)
-			mesh_take_rows(&other_mesh, &node, &msg, now);
+			mesh_handle_rows(&other_mesh, &node, &msg, now);
 		now += TR_MSEC(50);
 	}
 
@@ -381,8 +381,8 @@
 
 		mesh_add_work(&m, &msg, work);
 		mesh_add_uses(&m, &msg, uses);
-		mesh_take_rows(&other_mesh, &node, &msg, now);
-		mesh_take_limits(&other_mesh, &node, &msg, now);
+		mesh_handle_rows(&other_mesh, &node, &msg, now);
+		mesh_handle_limits(&other_mesh, &node, &msg, now);
 		now += TR_MSEC(50);
 	}
 
@@ -427,9 +427,9 @@
 	silent->work = node.work;
 	silent->work_count = node.work_count;
 	silent->heard_at = now;
-	EXPECT_EQ(mesh_untold_repeats(&other, 0, now), 0);
+	EXPECT_EQ(mesh_unreported_repeats(&other, 0, now), 0);
 	now += TR_SEC(1);
-	EXPECT_GE(mesh_untold_repeats(&other, 0, now), 10);
+	EXPECT_GE(mesh_unreported_repeats(&other, 0, now), 10);
 	EXPECT_EQ(repeats_heard(), 0u);
 	silent->work = nullptr;
 	silent->work_count = 0;
--- a/tests/spread_test.cc
+++ b/tests/spread_test.cc
@@ -317,11 +317,11 @@
 TEST(Pack, PackedTextIsASeventhAndUnpacksUnchanged)
 {
 	std::string text = many_routes();
-	GBytes *packed = pack_bytes(text.data(), text.size());
+	GBytes *packed = pack_compress(text.data(), text.size());
 	size_t size;
 	const void *data = g_bytes_get_data(packed, &size);
 	size_t len = 0;
-	char *back = pack_open(data, size, text.size(), &len);
+	char *back = pack_decompress(data, size, text.size(), &len);
 
 	ASSERT_NE(back, nullptr);
 	EXPECT_EQ(std::string(back, len), text);
@@ -334,19 +334,20 @@
 TEST(Pack, DamagedBytesAreRejected)
 {
 	std::string text = many_routes();
-	GBytes *packed = pack_bytes(text.data(), text.size());
+	GBytes *packed = pack_compress(text.data(), text.size());
 	size_t size;
 	const char *data = (const char *)g_bytes_get_data(packed, &size);
 	size_t len = 0;
 
 	for (size_t cut = 0; cut < size; cut += 97)
-		EXPECT_EQ(pack_open(data, cut, text.size(), &len), nullptr);
-	EXPECT_EQ(pack_open(data, size, text.size() - 1, &len), nullptr);
+		EXPECT_EQ(pack_decompress(data, cut, text.size(), &len),
+			  nullptr);
+	EXPECT_EQ(pack_decompress(data, size, text.size() - 1, &len), nullptr);
 	for (size_t at = 0; at < size; at += 97) {
 		std::string bad(data, size);
 
 		bad[at] ^= 0x20;
-		EXPECT_EQ(pack_open(bad.data(), size, text.size(), &len),
+		EXPECT_EQ(pack_decompress(bad.data(), size, text.size(), &len),
 			  nullptr)
 			<< at;
 	}
