--- a/entry/kept.c
+++ b/entry/kept.c
@@ -1,13 +1,14 @@
 /*
- * Connections to targets, kept for the next request that may be sent once more.
- * A new connection costs a round trip, a millisecond of one of the target's
- * slots, and what operators charge for it.
+ * Pool of idle connections to targets, for requests that may be retried. A new
+ * connection costs a round trip, a millisecond of one of the target's slots,
+ * and what operators charge for it.
  *
- * What goes wrong: targets drop resting connections, some sooner than they say
- * and without a word; what is sent on one then is reset, or lost. One would
- * notice by reads that begin with a reset. So a request that must run once
- * never goes on a kept connection; how long one may rest is learned from those
- * that were dead; and after a dead one the older ones are closed too.
+ * Targets close idle connections, some sooner than they announce and without a
+ * FIN or RST; a request sent on such a connection is reset or lost. The symptom
+ * is reads that fail with a reset at once. Therefore a request that must run
+ * only once never uses a pooled connection; the idle time that is allowed is
+ * learned from connections that turned out to be dead; and a dead connection
+ * closes those that have been idle longer.
  */
 #include "kept.h"
 
@@ -15,22 +16,22 @@
 
 #include "entry.h"
 
-/* Of the time that a target lets a connection rest; the rest is for the way of
- * the next request. */
-#define REST_PART 0.7
-/* A connection that rested shorter is tried whatever was learned, and how long
- * one may rest at most. */
-#define REST_LEAST TR_MSEC(50)
-#define REST_FIRST TR_MSEC(8000)
-/* A dead one allows the others half of its rest; each second without one lets
- * them rest so much longer again, so it takes 13 s from the least to the most.
- */
-#define REST_DEAD_PART 0.5
-#define REST_GROWTH    1.5
-#define REST_GROWS     TR_SEC(1)
-/* Connections kept at most: so many targets of its data centre a VM sends to
- * within the time that they rest. */
-#define KEPT_MOST 128
+/* Share of the idle timeout announced by the target that is used; the remainder
+ * covers the transit time of the next request. */
+#define IDLE_SHARE 0.7
+/* Bounds of the learned idle limit: a connection that has been idle for less
+ * than the lower one is always used. */
+#define IDLE_MIN TR_MSEC(50)
+#define IDLE_MAX TR_MSEC(8000)
+/* A dead connection lowers the limit to half of its idle time. Each interval
+ * without another one multiplies the limit by IDLE_GROWTH, so it takes 13 s
+ * from the lower bound to the upper one. */
+#define IDLE_AFTER_DEAD	     0.5
+#define IDLE_GROWTH	     1.5
+#define IDLE_GROWTH_INTERVAL TR_SEC(1)
+/* Number of targets of its own data centre that a VM sends to within the time
+ * that connections stay idle. */
+#define CONN_POOL_MAX 128
 
 struct pooled_stream {
 	struct entry *e;
@@ -42,7 +43,7 @@
 	apr_time_t until;
 };
 
-static void drop(struct pooled_stream *k)
+static void remove_stream(struct pooled_stream *k)
 {
 	struct kept *kept = &k->e->kept;
 	struct pooled_stream **at = &kept->first;
@@ -57,21 +58,21 @@
 	free(k);
 }
 
-/* Bytes that belong to no request: the connection can't be trusted. */
+/* Data that belongs to no request: the connection can't be used any more. */
 static void received(void *ctx, const char *data, size_t len)
 {
 	(void)data;
 	(void)len;
-	drop(ctx);
+	remove_stream(ctx);
 }
 
 static void ended(void *ctx, enum stream_end why)
 {
 	(void)why;
-	drop(ctx);
+	remove_stream(ctx);
 }
 
-static const struct stream_calls resting = {
+static const struct stream_calls idle_calls = {
 	.received = received,
 	.ended = ended,
 };
@@ -86,10 +87,10 @@
 	return found;
 }
 
-/* Keep the connection, which the target lets rest for so long. The stream is
- * taken over. */
+/* Adds the connection, for which the target has announced the given idle
+ * timeout. Takes over the stream, and closes it when no memory is left. */
 void conn_pool_put(struct entry *e, struct stream *stream, uint32_t row,
-		   uint32_t hash, apr_time_t rest)
+		   uint32_t hash, apr_time_t idle_timeout)
 {
 	struct kept *kept = &e->kept;
 	struct pooled_stream *k = calloc(1, sizeof(*k));
@@ -98,66 +99,67 @@
 		stream_close(stream);
 		return;
 	}
-	if (kept->count == KEPT_MOST)
-		drop(oldest(kept));
+	if (kept->count == CONN_POOL_MAX)
+		remove_stream(oldest(kept));
 	k->e = e;
 	k->row = row;
 	k->hash = hash;
 	k->since = entry_now(e);
-	k->until = k->since + (apr_time_t)(REST_PART * (double)rest);
+	k->until = k->since + (apr_time_t)(IDLE_SHARE * (double)idle_timeout);
 	k->next = kept->first;
 	kept->first = k;
 	kept->count++;
 	if (e->roster.rows[row].hash == hash)
 		e->roster.rows[row].kept++;
-	stream_move(&k->stream, stream, &resting, k);
+	stream_move(&k->stream, stream, &idle_calls, k);
 }
 
-static apr_time_t rest_most(const struct kept *kept)
+static apr_time_t idle_limit(const struct kept *kept)
 {
-	return kept->rest_most ? kept->rest_most : REST_FIRST;
+	return kept->idle_limit ? kept->idle_limit : IDLE_MAX;
 }
 
-/* The target's connection that rested shortest, if there is one that may be
- * used. rested says how long it did, in us. */
+/* Takes the target's most recently used connection out of the pool, if one
+ * is fresh enough. idle is set to how long it has been idle, in us. */
 bool conn_pool_get(struct entry *e, uint32_t row, uint32_t hash,
 		   struct stream *stream, const struct stream_calls *calls,
-		   void *ctx, apr_time_t *rested)
+		   void *ctx, apr_time_t *idle)
 {
 	apr_time_t now = entry_now(e);
 	struct pooled_stream *found = NULL;
 
 	for (struct pooled_stream *k = e->kept.first; k; k = k->next)
 		if (k->row == row && k->hash == hash && now < k->until &&
-		    now - k->since <= rest_most(&e->kept) &&
+		    now - k->since <= idle_limit(&e->kept) &&
 		    (!found || k->since > found->since))
 			found = k;
 	if (!found)
 		return false;
-	*rested = now - found->since;
+	*idle = now - found->since;
 	stream_move(stream, &found->stream, calls, ctx);
-	drop(found);
+	remove_stream(found);
 	return true;
 }
 
-/* One that had rested so long was dead: older ones may be too. */
-void conn_pool_report_dead(struct entry *e, apr_time_t rested)
+/* Reports that a connection was dead after the given idle time: lowers the
+ * limit, and closes connections that have been idle for longer. */
+void conn_pool_report_dead(struct entry *e, apr_time_t idle)
 {
-	apr_time_t most = (apr_time_t)(REST_DEAD_PART * (double)rested);
+	apr_time_t lowered = (apr_time_t)(IDLE_AFTER_DEAD * (double)idle);
 	apr_time_t now = entry_now(e);
 	struct pooled_stream *next;
 
-	if (most < rest_most(&e->kept))
-		e->kept.rest_most = most > REST_LEAST ? most : REST_LEAST;
-	e->kept.learned_at = now;
+	if (lowered < idle_limit(&e->kept))
+		e->kept.idle_limit = lowered > IDLE_MIN ? lowered : IDLE_MIN;
+	e->kept.adjusted_at = now;
 	for (struct pooled_stream *k = e->kept.first; k; k = next) {
 		next = k->next;
-		if (now - k->since > e->kept.rest_most)
-			drop(k);
+		if (now - k->since > e->kept.idle_limit)
+			remove_stream(k);
 	}
 }
 
-static bool is_over(const struct pooled_stream *k, apr_time_t now)
+static bool is_expired(const struct pooled_stream *k, apr_time_t now)
 {
 	const struct tr_instance *row = &k->e->roster.rows[k->row];
 
@@ -165,8 +167,8 @@
 	       !tr_instance_serves(row, now);
 }
 
-/* Close what has rested long enough, or whose target leaves; call some times a
- * second. */
+/* Closes connections that have reached their idle limit or whose target is
+ * leaving, and raises the learned limit. To be called a few times a second. */
 void conn_pool_expire(struct entry *e)
 {
 	struct kept *kept = &e->kept;
@@ -175,19 +177,19 @@
 
 	for (struct pooled_stream *k = kept->first; k; k = next) {
 		next = k->next;
-		if (is_over(k, now))
-			drop(k);
+		if (is_expired(k, now))
+			remove_stream(k);
 	}
-	if (!kept->rest_most || now - kept->learned_at < REST_GROWS)
+	if (!kept->idle_limit || now - kept->adjusted_at < IDLE_GROWTH_INTERVAL)
 		return;
-	kept->learned_at = now;
-	kept->rest_most = (apr_time_t)((double)kept->rest_most * REST_GROWTH);
-	if (kept->rest_most > REST_FIRST)
-		kept->rest_most = REST_FIRST;
+	kept->adjusted_at = now;
+	kept->idle_limit = (apr_time_t)((double)kept->idle_limit * IDLE_GROWTH);
+	if (kept->idle_limit > IDLE_MAX)
+		kept->idle_limit = IDLE_MAX;
 }
 
 void conn_pool_clear(struct entry *e)
 {
 	while (e->kept.first)
-		drop(e->kept.first);
+		remove_stream(e->kept.first);
 }
--- a/entry/kept.h
+++ b/entry/kept.h
@@ -1,3 +1,4 @@
+/* Pool of idle connections to targets. */
 #ifndef KEPT_H
 #define KEPT_H
 
@@ -6,21 +7,20 @@
 struct entry;
 struct pooled_stream;
 
-/* Connections to targets that rest until the next request. rest_most is how
- * long one may have rested when it is used. */
+/* Idle connections to targets. */
 struct kept {
 	struct pooled_stream *first;
 	unsigned count;
-	apr_time_t rest_most;
-	apr_time_t learned_at;
+	apr_time_t idle_limit;	/* learned; 0 before a connection was dead */
+	apr_time_t adjusted_at; /* when idle_limit was last changed */
 };
 
 void conn_pool_put(struct entry *e, struct stream *stream, uint32_t row,
-		   uint32_t hash, apr_time_t rest);
+		   uint32_t hash, apr_time_t idle_timeout);
 bool conn_pool_get(struct entry *e, uint32_t row, uint32_t hash,
 		   struct stream *stream, const struct stream_calls *calls,
-		   void *ctx, apr_time_t *rested);
-void conn_pool_report_dead(struct entry *e, apr_time_t rested);
+		   void *ctx, apr_time_t *idle);
+void conn_pool_report_dead(struct entry *e, apr_time_t idle);
 void conn_pool_expire(struct entry *e);
 void conn_pool_clear(struct entry *e);
 
