--- a/entry/dialect.c
+++ b/entry/dialect.c
@@ -1,3 +1,6 @@
+/*
+ * Pages of store items.
+ */
 #include "dialect.h"
 
 static void clear_item(void *p)
@@ -13,7 +16,7 @@
 	page->items = g_array_new(FALSE, TRUE, sizeof(struct store_item));
 	g_array_set_clear_func(page->items, clear_item);
 	page->as_of = 0;
-	page->more = false;
+	page->has_more = false;
 }
 
 void store_page_clear(struct store_page *page)
--- a/entry/dialect.h
+++ b/entry/dialect.h
@@ -1,3 +1,5 @@
+/* Interface to the platform's wire format. The entry daemon is written against
+ * it, so that another platform needs only another struct dialect. */
 #ifndef DIALECT_H
 #define DIALECT_H
 
@@ -10,7 +12,7 @@
 struct message;
 struct tr_error;
 
-/* One value of the platform's store, or that it was removed. */
+/* A value in the platform's store, or a tombstone. */
 struct store_item {
 	char *key;
 	char *value;
@@ -19,41 +21,42 @@
 	bool removed;
 };
 
-/* A part of a listing, or what has changed since a revision. */
+/* A page of a listing, or of the changes since a revision. */
 struct store_page {
 	GArray *items;
-	uint64_t as_of;
-	bool more;
+	uint64_t as_of; /* revision of the store */
+	bool has_more;
 };
 
 /*
- * How one platform speaks: the names on the wire and the formats, and nothing
- * that decides. Paths are returned for the caller to g_free.
+ * Names and formats of one platform; it holds no policy. Returned paths are to
+ * be freed with g_free().
  */
 struct dialect {
 	const char *name;
 
-	/* Headers of requests and answers. */
+	/* Names of request and response headers. */
 	const char *request_id;
 	const char *deadline_ms;
-	const char *stamp;
-	const char *expected_instance;
-	const char *not_run;
+	const char *stamp; /* in each response that the target itself sent */
+	const char *expected_instance; /* another target must refuse */
+	const char *not_run; /* the target did not execute the request */
 	const char *load;
 	const char *api_key;
 	const char *organisation;
 	void (*read_notice)(const struct message *answer,
 			    struct tr_notice *notice);
 
-	/* Calls from callers and from the platform. */
+	/* Endpoints for callers and for the platform. */
 	const char *lookup_path;
-	const char *lookup_data_centre_param;
+	const char *lookup_data_centre_param; /* in the query string */
 	const char *readiness_path;
 	char *(*format_lookup_reply)(char **addresses, unsigned count,
 				     apr_time_t keep);
 
-	/* The platform's store. */
-	const char *everything;
+	/* The platform's store. A watch returns the changes after a revision,
+	 * or history_lost_status when the store no longer has them. */
+	const char *root_prefix; /* of all keys */
 	char *(*list_path)(const char *prefix, const char *after_key);
 	char *(*watch_path)(const char *prefix, uint64_t after_revision,
 			    apr_time_t wait);
--- a/entry/fetch.c
+++ b/entry/fetch.c
@@ -1,21 +1,24 @@
+/*
+ * HTTP client for single GET requests on the event loop.
+ */
 #include "fetch.h"
 
 #include <arpa/inet.h>
 #include <string.h>
 
 #define HEAD_MAX 16384
-/* An answer may take so many times its time-out while bytes keep coming: a
- * megabyte on a link of 10 Mbit/s takes 0.9 s. */
-#define PATIENCE 8
+/* Times that the timeout may run while data keeps coming: a megabyte on a link
+ * of 10 Mbit/s takes 0.9 s. */
+#define TIMEOUT_EXTENSIONS 8
 
-static void shut(struct fetcher *f)
+static void close_connection(struct fetcher *f)
 {
 	if (f->open)
 		stream_close(&f->stream);
 	f->open = false;
 }
 
-static void finish(struct fetcher *f, const struct message *answer)
+static void finish_request(struct fetcher *f, const struct message *answer)
 {
 	fetch_done_fn done = f->done;
 
@@ -23,7 +26,7 @@
 	f->timer = NULL;
 	f->busy = false;
 	if (!answer || !answer->keep_alive)
-		shut(f);
+		close_connection(f);
 	done(f->ctx, answer);
 }
 
@@ -33,9 +36,9 @@
 	ssize_t used = f->busy ? message_feed(&f->answer, data, len) : -1;
 
 	if (used < 0) {
-		shut(f);
+		close_connection(f);
 		if (f->busy)
-			finish(f, NULL);
+			finish_request(f, NULL);
 		return;
 	}
 	if (!f->answer.complete) {
@@ -44,7 +47,7 @@
 	}
 	if ((size_t)used != len)
 		f->answer.keep_alive = false;
-	finish(f, &f->answer);
+	finish_request(f, &f->answer);
 }
 
 static int send_request(struct fetcher *f);
@@ -52,21 +55,22 @@
 static void ended(void *ctx, enum stream_end why)
 {
 	struct fetcher *f = ctx;
-	bool untouched = !f->answer.begun;
+	bool no_bytes = !f->answer.begun;
 
 	f->open = false;
 	if (!f->busy)
 		return;
-	/* A kept connection that was closed meanwhile has read nothing. */
-	if (f->reused && untouched) {
+	/* The server closed the reused connection before it read the request.
+	 */
+	if (f->reused && no_bytes) {
 		f->reused = false;
 		if (!send_request(f))
 			return;
 	}
 	if (why == STREAM_CLOSED && message_end_of_stream(&f->answer))
-		finish(f, &f->answer);
+		finish_request(f, &f->answer);
 	else
-		finish(f, NULL);
+		finish_request(f, NULL);
 }
 
 static const struct stream_calls calls = {
@@ -79,13 +83,13 @@
 	struct fetcher *f = ctx;
 
 	f->timer = NULL;
-	if (f->progressed && --f->patience) {
+	if (f->progressed && --f->extensions_left) {
 		f->progressed = false;
 		f->timer = loop_after(f->loop, f->timeout, timed_out, f);
 		return;
 	}
-	shut(f);
-	finish(f, NULL);
+	close_connection(f);
+	finish_request(f, NULL);
 }
 
 static int send_request(struct fetcher *f)
@@ -108,8 +112,8 @@
 	message_init(&f->answer, HTTP_RESPONSE, HEAD_MAX, FETCH_BODY_MAX);
 }
 
-/* Ask. 0, and done will be called, later; or -1 when that can't begin. timeout
- * is how long no byte need come. */
+/* Starts a GET. Returns 0, and calls done later, or -1 if it can't be started.
+ * timeout is the longest time without any data, in us. */
 int fetcher_get(struct fetcher *f, const struct sockaddr_in *to,
 		const char *path, apr_time_t timeout, fetch_done_fn done,
 		void *ctx)
@@ -119,7 +123,7 @@
 	if (f->busy)
 		return -1;
 	if (memcmp(&f->to, to, sizeof(*to)) != 0)
-		shut(f);
+		close_connection(f);
 	f->to = *to;
 	f->done = done;
 	f->ctx = ctx;
@@ -131,13 +135,13 @@
 		return -1;
 	f->busy = true;
 	f->progressed = false;
-	f->patience = PATIENCE;
+	f->extensions_left = TIMEOUT_EXTENSIONS;
 	f->timeout = timeout;
 	f->timer = loop_after(f->loop, timeout, timed_out, f);
 	return 0;
 }
 
-/* Give up what runs; done is not called. */
+/* Aborts the running request without calling done. */
 void fetcher_cancel(struct fetcher *f)
 {
 	if (!f->busy)
@@ -145,13 +149,13 @@
 	loop_cancel(f->loop, f->timer);
 	f->timer = NULL;
 	f->busy = false;
-	shut(f);
+	close_connection(f);
 }
 
 void fetcher_release(struct fetcher *f)
 {
 	fetcher_cancel(f);
-	shut(f);
+	close_connection(f);
 	message_free(&f->answer);
 	g_free(f->request);
 	f->request = NULL;
--- a/entry/fetch.h
+++ b/entry/fetch.h
@@ -1,3 +1,4 @@
+/* HTTP client for single GET requests on the event loop. */
 #ifndef FETCH_H
 #define FETCH_H
 
@@ -6,20 +7,20 @@
 
 #define FETCH_BODY_MAX (4 * 1024 * 1024)
 
-/* Called once a GET: the answer, or NULL when none came. */
+/* Called once for each GET with the response, or with NULL on failure. */
 typedef void (*fetch_done_fn)(void *ctx, const struct message *answer);
 
-/* One GET at a time to one address, on a connection that is kept. */
+/* One GET at a time to one address, on a persistent connection. */
 struct fetcher {
 	struct loop *loop;
 	struct stream stream;
 	struct message answer;
 	struct sockaddr_in to;
-	bool open;
-	bool reused;
+	bool open;   /* stream is connected or connecting */
+	bool reused; /* the request went out on an existing connection */
 	bool busy;
-	bool progressed;
-	unsigned patience;
+	bool progressed;	  /* data came since the timer was last set */
+	unsigned extensions_left; /* of the timeout */
 	apr_time_t timeout;
 	char *request;
 	struct loop_timer *timer;
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -1,17 +1,18 @@
-/* What targets say of themselves in their answers, as this VM takes it in. */
+/* Handles what targets announce about themselves in their responses: rate
+ * limits, that they are leaving, and times to back off. */
 #include "notices.h"
 
 #include "eventlog.h"
 #include "mesh.h"
 
-/* Lines a second, in the mean, of notices that can't be read. */
+/* Log lines a second, on average, about unreadable announcements. */
 #define REFUSAL_LINES_A_S 0.2
-/* A target that wants longer rest is asked again after so long: nothing else
- * ends a rest that was named by mistake. */
-#define REST_MOST TR_SEC(600)
+/* Longer back-off times are cut to this one: nothing else ends a back-off that
+ * a target asked for by mistake. */
+#define REST_MAX TR_SEC(600)
 
-static void log_unreadable(struct entry *e, const struct tr_instance *row,
-			   const char *field, const char *expected)
+static void log_refused_notice(struct entry *e, const struct tr_instance *row,
+			       const char *field, const char *expected)
 {
 	apr_time_t now = entry_now(e);
 
@@ -24,7 +25,7 @@
 		 row->id, field, expected, (guint64)e->counts.notices_refused);
 }
 
-/* A line where a limit begins, changes or ends. */
+/* Logs that a target's limit began, changed or ended. */
 void notices_log_limit(const struct tr_instance *row,
 		       const struct tr_send_limit *limit,
 		       enum tr_send_limit_change change, const char *from)
@@ -42,12 +43,12 @@
 }
 
 /*
- * An answer named a limit, or an answer of work named none; a failure without
- * one says nothing. What begins or ends is told at once: until the others know,
- * they send on.
+ * The response names a limit, or it is a success without one, which ends the
+ * limit; an error response without a limit means nothing. A limit that begins
+ * or ends is broadcast at once, since other VMs keep sending until they know.
  */
-static void take_limit(struct entry *e, struct tr_instance *row,
-		       const struct tr_notice *notice, int status)
+static void apply_limit(struct entry *e, struct tr_instance *row,
+			const struct tr_notice *notice, int status)
 {
 	struct tr_send_limits *limits = &e->roster.limits;
 	enum tr_send_limit_change change;
@@ -72,8 +73,8 @@
 		mesh_broadcast_limit(e->mesh, place);
 }
 
-/* The target has said that it leaves, to this VM or another. True when that is
- * news here. */
+/* Records that the target has announced that it is leaving, to this VM or
+ * another. Returns true if that was not known here. */
 bool notices_mark_leaving(struct entry *e, struct tr_instance *row,
 			  const char *from)
 {
@@ -85,13 +86,14 @@
 }
 
 /*
- * The target wants nothing from this VM for a while; others were not told so.
- * A line where a rest begins, not where it is named once more.
+ * Sends the target nothing for a while. It has asked only this VM for that, so
+ * other VMs are not told. Logged when a back-off begins, not when it is
+ * extended.
  */
-static void take_rest(struct tr_instance *row, apr_time_t rest, apr_time_t now)
+static void apply_rest(struct tr_instance *row, apr_time_t rest, apr_time_t now)
 {
-	if (rest > REST_MOST)
-		rest = REST_MOST;
+	if (rest > REST_MAX)
+		rest = REST_MAX;
 	if (row->backoff_until <= now)
 		eventlog(EVENT_BELIEF, "target-rests", "id=%s rest_ms=%ld",
 			 row->id, (long)(rest / 1000));
@@ -100,8 +102,9 @@
 }
 
 /*
- * Take in what the target in the row says in an answer's head. hash tells its
- * start: another one, which has the row by now, has said nothing.
+ * Handles the announcements in a response's headers. hash identifies the target
+ * that sent it: a target that has since taken over the row has announced
+ * nothing.
  */
 void notices_handle(struct entry *e, uint32_t at, uint32_t hash,
 		    const struct message *answer)
@@ -113,13 +116,13 @@
 		return;
 	e->dialect->read_notice(answer, &notice);
 	if (notice.limit_state == TR_NOTICE_INVALID)
-		log_unreadable(e, row, "limit", "requests a second");
+		log_refused_notice(e, row, "limit", "requests a second");
 	else
-		take_limit(e, row, &notice, answer->parser.status_code);
+		apply_limit(e, row, &notice, answer->parser.status_code);
 	if (notice.leaving && notices_mark_leaving(e, row, "answer"))
 		mesh_broadcast_leaving(e->mesh, row->hash);
 	if (notice.rest_state == TR_NOTICE_INVALID)
-		log_unreadable(e, row, "rest", "seconds");
+		log_refused_notice(e, row, "rest", "seconds");
 	else if (notice.rest_state == TR_NOTICE_GIVEN)
-		take_rest(row, notice.rest, entry_now(e));
+		apply_rest(row, notice.rest, entry_now(e));
 }
--- a/entry/notices.h
+++ b/entry/notices.h
@@ -1,3 +1,5 @@
+/* Handling of what targets announce about themselves: rate limits, that they
+ * are leaving, and times to back off. */
 #ifndef NOTICES_H
 #define NOTICES_H
 
--- a/entry/pack.c
+++ b/entry/pack.c
@@ -1,7 +1,8 @@
 /*
- * Compression of what VMs fetch from each other: a configuration of 1,500
- * routes is 127 kB as the platform writes it and less than a sixth packed, and
- * before 100 VMs on thin links that decides whether it arrives in time.
+ * Compression of data that VMs fetch from each other. A configuration of 1,500
+ * routes has 127 kB as the platform writes it and compresses to less than a
+ * sixth of that, which decides whether it reaches 100 VMs on slow links in
+ * time.
  */
 #include "pack.h"
 
@@ -9,11 +10,12 @@
 #include <string.h>
 #include <zlib.h>
 
-/* zlib's fastest level: the packed size differs by a few parts in a hundred,
- * the time on a tenth of a core by a factor of three. */
+/* zlib's fastest level: higher ones save a few per cent of size and take three
+ * times as long, on a tenth of a core. */
 #define LEVEL 1
 
-/* The text packed, for g_bytes_unref; NULL without memory. */
+/* Returns the compressed text, to be freed with g_bytes_unref(), or NULL if
+ * memory runs out. */
 GBytes *pack_compress(const char *text, size_t len)
 {
 	uLongf size = compressBound(len);
@@ -27,17 +29,18 @@
 }
 
 /*
- * The text of what was packed, of at most so many bytes; NULL when it is
- * damaged, cut short or larger. It ends with a NUL that is not counted.
+ * Returns the decompressed text, to be freed with free(), or NULL if the data
+ * is corrupt, truncated or larger than max bytes when decompressed. The text is
+ * terminated by a NUL that text_len does not count.
  */
-char *pack_decompress(const void *packed, size_t len, size_t most,
+char *pack_decompress(const void *packed, size_t len, size_t max,
 		      size_t *text_len)
 {
-	uLongf size = most;
+	uLongf size = max;
 	uLong used = len;
 	char *text;
 
-	text = malloc(most + 1);
+	text = malloc(max + 1);
 	if (!text)
 		return NULL;
 	if (uncompress2((Bytef *)text, &size, packed, &used) != Z_OK ||
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -1,3 +1,8 @@
+/*
+ * Transfer of configurations and target lists between VMs over HTTP: a VM that
+ * lacks one, or learns from a message that its list differs, fetches it from
+ * another VM, and serves what it has.
+ */
 #include "pull.h"
 
 #include <inttypes.h>
@@ -13,53 +18,54 @@
 
 #define ROUTES_PATH  "/peer/routes"
 #define TARGETS_PATH "/peer/targets"
-/* Of the routes that are sent: their revision, and what the whole is once it is
- * unpacked. */
-#define REVISION "Toucanreel-Revision"
-#define LENGTH	 "Toucanreel-Length"
-#define DIGEST	 "Toucanreel-Digest"
-/* Of a list: how long ago it was packed, in us. */
-#define SINCE "Toucanreel-Since"
-/* How long a packed list is handed out. With 442 VMs back at once each copy was
- * packed anew, 809 targets each time on a tenth of a core: 5,900 requests were
- * refused within four seconds, 90 with it. */
-#define LIST_KEPT TR_MSEC(300)
-/* A peer answers from memory; longer without a byte is a dead path. */
+/* Headers of a response: the revision of the routes, and the length and digest
+ * of the uncompressed text. */
+#define HEADER_REVISION "Toucanreel-Revision"
+#define HEADER_LENGTH	"Toucanreel-Length"
+#define HEADER_DIGEST	"Toucanreel-Digest"
+/* Header of a list: time since it was compressed, in us. */
+#define HEADER_SINCE "Toucanreel-Since"
+/* How long a compressed list is served. When 442 VMs returned at once and each
+ * copy was compressed anew, 809 targets each time on a tenth of a core, 5,900
+ * requests were refused within four seconds; with the cache, 90. */
+#define LIST_CACHE_TIME TR_MSEC(300)
+/* Peers answer from memory, so a longer silence means that the path is dead. */
 #define PULL_TIMEOUT TR_MSEC(1000)
-/* Between two pulls of the list: messages that are on their way mend most
- * differences. */
-#define PULL_GAP TR_MSEC(250)
-/* The largest value that is unpacked: the platform's own values hold up to a
+/* Minimum time between two pulls of the list: most differences are resolved by
+ * messages that are already in transit. */
+#define LIST_PULL_INTERVAL TR_MSEC(250)
+/* Upper bound for the decompressed size; values of the platform have at most a
  * megabyte. */
-#define TEXT_MOST (4 * 1024 * 1024)
+#define TEXT_SIZE_MAX (4 * 1024 * 1024)
 
-static uint64_t number_in(const struct message *answer, const char *name)
+static uint64_t header_number(const struct message *answer, const char *name)
 {
 	const char *text = message_header(answer, name);
 
 	return text ? strtoull(text, NULL, 10) : 0;
 }
 
-/* The answer's text, whole and as its holder had it, or NULL; for free(). */
-static char *open_answer(const struct message *answer, size_t *len)
+/* Returns the decompressed text, to be freed with free(), or NULL unless length
+ * and digest match the headers. */
+static char *decompress_answer(const struct message *answer, size_t *len)
 {
-	uint64_t length = number_in(answer, LENGTH);
+	uint64_t length = header_number(answer, HEADER_LENGTH);
 	auto_free char *text = NULL;
 	char *whole;
 
-	if (!length || length > TEXT_MOST)
+	if (!length || length > TEXT_SIZE_MAX)
 		return NULL;
 	text = pack_decompress(answer->body->data, answer->body->len, length,
 			       len);
 	if (!text || *len != length ||
-	    tr_hash(text, *len) != number_in(answer, DIGEST))
+	    tr_hash(text, *len) != header_number(answer, HEADER_DIGEST))
 		return NULL;
 	whole = text;
 	text = NULL;
 	return whole;
 }
 
-static void got_routes(void *ctx, const struct message *answer)
+static void handle_routes_answer(void *ctx, const struct message *answer)
 {
 	struct pull *pull = ctx;
 	struct entry *e = pull->e;
@@ -68,15 +74,15 @@
 	uint64_t before = e->routes ? e->routes->revision : 0;
 
 	if (answer && answer->parser.status_code == 200)
-		text = open_answer(answer, &item.value_len);
+		text = decompress_answer(answer, &item.value_len);
 	if (text) {
 		item.value = text;
-		item.revision = number_in(answer, REVISION);
+		item.revision = header_number(answer, HEADER_REVISION);
 		entry_offer_routes(e, &item, "peer");
 	}
 	if (e->routes && e->routes->revision > before) {
 		/* So that others of the group can ask this VM. */
-		pull->has_news(e);
+		pull->on_new_data(e);
 		return;
 	}
 	e->counts.pulls_failed++;
@@ -84,7 +90,8 @@
 			 &e->random, entry_now(e));
 }
 
-static int read_record(json_t *row, struct tr_target_record *r)
+/* Parses a target of a list, an array as targets_json() writes it. */
+static int parse_record(json_t *row, struct tr_target_record *r)
 {
 	const char *id, *service, *address, *centre;
 	json_int_t slots, cold, revision, born;
@@ -109,7 +116,9 @@
 	return 0;
 }
 
-static void take_list(struct entry *e, json_t *root, apr_time_t since)
+/* Applies another VM's list. since is how long ago it was compressed; older
+ * lists and malformed ones are dropped. */
+static void apply_list(struct entry *e, json_t *root, apr_time_t since)
 {
 	json_t *rows = json_object_get(root, "targets");
 	uint64_t as_of =
@@ -124,7 +133,7 @@
 	if (!records || as_of < e->roster.as_of)
 		return;
 	for (size_t i = 0; i < n; i++) {
-		if (read_record(json_array_get(rows, i), &records[i]))
+		if (parse_record(json_array_get(rows, i), &records[i]))
 			return;
 		tr_roster_apply(&e->roster, &records[i], now);
 	}
@@ -135,7 +144,7 @@
 		 (long)(age / 1000));
 }
 
-static void got_targets(void *ctx, const struct message *answer)
+static void handle_targets_answer(void *ctx, const struct message *answer)
 {
 	struct pull *pull = ctx;
 	auto_json json_t *root = NULL;
@@ -143,16 +152,17 @@
 	size_t len = 0;
 
 	if (answer && answer->parser.status_code == 200)
-		text = open_answer(answer, &len);
+		text = decompress_answer(answer, &len);
 	if (text)
 		root = json_loadb(text, len, 0, NULL);
 	if (root) {
 		bool first = !pull->e->roster.as_of;
 
-		take_list(pull->e, root, (apr_time_t)number_in(answer, SINCE));
+		apply_list(pull->e, root,
+			   (apr_time_t)header_number(answer, HEADER_SINCE));
 		/* So that others of the group can ask this VM. */
 		if (first)
-			pull->has_news(pull->e);
+			pull->on_new_data(pull->e);
 		return;
 	}
 	pull->e->counts.pulls_failed++;
@@ -160,8 +170,8 @@
 			 &pull->e->random, entry_now(pull->e));
 }
 
-static int get(struct pull *pull, struct fetcher *f, uint32_t ip,
-	       const char *path, fetch_done_fn done)
+static int start_get(struct pull *pull, struct fetcher *f, uint32_t ip,
+		     const char *path, fetch_done_fn done)
 {
 	struct sockaddr_in to = {
 		.sin_family = AF_INET,
@@ -173,8 +183,8 @@
 	return fetcher_get(f, &to, path, PULL_TIMEOUT, done, pull);
 }
 
-/* A VM that has just started takes its first list from another, if it can. */
-static void get_first_list(struct pull *pull)
+/* Fetches the first list after a start from another VM, if one has it. */
+static void fetch_first_list(struct pull *pull)
 {
 	struct entry *e = pull->e;
 	const struct tr_node *holder;
@@ -183,14 +193,15 @@
 		return;
 	holder = tr_spread_choose_source(&pull->first_list, &e->members, 0, 0,
 					 &e->random, entry_now(e));
-	if (holder &&
-	    get(pull, &pull->targets, holder->ip, TARGETS_PATH, got_targets))
+	if (holder && start_get(pull, &pull->targets, holder->ip, TARGETS_PATH,
+				handle_targets_answer))
 		tr_spread_failed(&pull->first_list, holder->ip, &e->random,
 				 entry_now(e));
 }
 
-/* Get a newer configuration, if another VM has one and it is time to ask. */
-static void get_routes(struct pull *pull)
+/* Fetches a newer configuration, if another VM has one and it is this VM's turn
+ * to ask. */
+static void fetch_routes(struct pull *pull)
 {
 	struct entry *e = pull->e;
 	uint64_t held = e->routes ? e->routes->revision : 0;
@@ -201,28 +212,31 @@
 	holder = tr_spread_choose_source(&pull->spread, &e->members, held,
 					 e->refused_revision, &e->random,
 					 entry_now(e));
-	if (holder &&
-	    get(pull, &pull->routes, holder->ip, ROUTES_PATH, got_routes))
+	if (holder && start_get(pull, &pull->routes, holder->ip, ROUTES_PATH,
+				handle_routes_answer))
 		tr_spread_failed(&pull->spread, holder->ip, &e->random,
 				 entry_now(e));
 }
 
-/* Get what is missing here and others have; call every 25 ms or so. */
+/* Fetches what this VM lacks and others have. To be called every 25 ms or so.
+ */
 void pull_step(struct pull *pull)
 {
-	get_first_list(pull);
-	get_routes(pull);
+	fetch_first_list(pull);
+	fetch_routes(pull);
 }
 
-/* Get the whole list of targets from the VM. */
+/* Fetches the complete list of targets from the VM. */
 void pull_targets(struct pull *pull, uint32_t ip)
 {
 	apr_time_t now = entry_now(pull->e);
 
-	if (pull->targets.busy || now - pull->targets_at < PULL_GAP)
+	if (pull->targets.busy ||
+	    now - pull->targets_asked_at < LIST_PULL_INTERVAL)
 		return;
-	pull->targets_at = now;
-	get(pull, &pull->targets, ip, TARGETS_PATH, got_targets);
+	pull->targets_asked_at = now;
+	start_get(pull, &pull->targets, ip, TARGETS_PATH,
+		  handle_targets_answer);
 }
 
 static char *targets_json(const struct entry *e)
@@ -252,21 +266,24 @@
 	return json_dumps(root, JSON_COMPACT);
 }
 
-/* The routes in force, packed once a revision. */
-static GBytes *packed_routes(struct pull *pull, const struct tr_routes *routes)
+/* Returns the routes in force, compressed once for each revision. */
+static GBytes *compress_routes(struct pull *pull,
+			       const struct tr_routes *routes)
 {
-	if (pull->packed && pull->packed_revision == routes->revision)
-		return pull->packed;
-	g_clear_pointer(&pull->packed, g_bytes_unref);
-	pull->packed = pack_compress(routes->text, routes->text_len);
-	pull->packed_revision = routes->revision;
-	pull->packed_digest = tr_hash(routes->text, routes->text_len);
-	return pull->packed;
+	if (pull->compressed_routes &&
+	    pull->compressed_revision == routes->revision)
+		return pull->compressed_routes;
+	g_clear_pointer(&pull->compressed_routes, g_bytes_unref);
+	pull->compressed_routes = pack_compress(routes->text, routes->text_len);
+	pull->compressed_revision = routes->revision;
+	pull->routes_digest = tr_hash(routes->text, routes->text_len);
+	return pull->compressed_routes;
 }
 
-/* Send what was packed, or that the link is taken. */
-static void send_packed(struct pull *pull, struct caller *caller, GBytes *bytes,
-			const char *headers)
+/* Sends the compressed data, or 503 while the link is busy with other copies.
+ */
+static void send_compressed(struct pull *pull, struct caller *caller,
+			    GBytes *bytes, const char *headers)
 {
 	struct caller_answer answer = { .status = 503, .close = true };
 
@@ -284,45 +301,46 @@
 static void send_routes(struct pull *pull, struct caller *caller)
 {
 	const struct tr_routes *routes = pull->e->routes;
-	GBytes *bytes = packed_routes(pull, routes);
+	GBytes *bytes = compress_routes(pull, routes);
 	g_autofree char *headers = g_strdup_printf(
-		REVISION ": %" PRIu64 "\r\n" LENGTH ": %zu\r\n" DIGEST
-			 ": %" PRIu64 "\r\n",
-		routes->revision, routes->text_len, pull->packed_digest);
+		HEADER_REVISION ": %" PRIu64 "\r\n" HEADER_LENGTH
+				": %zu\r\n" HEADER_DIGEST ": %" PRIu64 "\r\n",
+		routes->revision, routes->text_len, pull->routes_digest);
 
-	send_packed(pull, caller, bytes, headers);
+	send_compressed(pull, caller, bytes, headers);
 }
 
-/* The list as it is now, packed anew when it has changed or is old. */
-static GBytes *packed_list(struct pull *pull)
+/* Returns the current list, compressed again when it has changed or the cached
+ * copy is too old. */
+static GBytes *compress_list(struct pull *pull)
 {
 	uint64_t digest = tr_roster_digest(&pull->e->roster);
 	apr_time_t now = entry_now(pull->e);
 	auto_free char *text = NULL;
 
-	if (pull->list && pull->list_digest == digest &&
-	    now - pull->list_at < LIST_KEPT)
-		return pull->list;
+	if (pull->compressed_list && pull->roster_digest == digest &&
+	    now - pull->list_compressed_at < LIST_CACHE_TIME)
+		return pull->compressed_list;
 	text = targets_json(pull->e);
-	g_clear_pointer(&pull->list, g_bytes_unref);
-	pull->list_length = strlen(text);
-	pull->list = pack_compress(text, pull->list_length);
-	pull->list_text_digest = tr_hash(text, pull->list_length);
-	pull->list_digest = digest;
-	pull->list_at = now;
-	return pull->list;
+	g_clear_pointer(&pull->compressed_list, g_bytes_unref);
+	pull->list_text_len = strlen(text);
+	pull->compressed_list = pack_compress(text, pull->list_text_len);
+	pull->list_digest = tr_hash(text, pull->list_text_len);
+	pull->roster_digest = digest;
+	pull->list_compressed_at = now;
+	return pull->compressed_list;
 }
 
 static void send_targets(struct pull *pull, struct caller *caller)
 {
-	GBytes *bytes = packed_list(pull);
-	g_autofree char *headers =
-		g_strdup_printf(LENGTH ": %zu\r\n" DIGEST ": %" PRIu64
-				       "\r\n" SINCE ": %" PRId64 "\r\n",
-				pull->list_length, pull->list_text_digest,
-				(int64_t)(entry_now(pull->e) - pull->list_at));
-
-	send_packed(pull, caller, bytes, headers);
+	GBytes *bytes = compress_list(pull);
+	g_autofree char *headers = g_strdup_printf(
+		HEADER_LENGTH ": %zu\r\n" HEADER_DIGEST ": %" PRIu64
+			      "\r\n" HEADER_SINCE ": %" PRId64 "\r\n",
+		pull->list_text_len, pull->list_digest,
+		(int64_t)(entry_now(pull->e) - pull->list_compressed_at));
+
+	send_compressed(pull, caller, bytes, headers);
 }
 
 static void handle(void *ctx, struct caller *caller)
@@ -341,12 +359,12 @@
 
 static const struct listener_calls calls = { .handle = handle };
 
-/* Answer peers on the address. 0, or -1 with errno. */
+/* Serves peers on the address. Returns 0, or -1 with errno set. */
 int pull_open(struct pull *pull, struct entry *e, const char *address,
-	      void (*has_news)(struct entry *e))
+	      void (*on_new_data)(struct entry *e))
 {
 	pull->e = e;
-	pull->has_news = has_news;
+	pull->on_new_data = on_new_data;
 	pull->spread.what = TR_RESOURCE_ROUTES;
 	pull->first_list.what = TR_RESOURCE_LIST;
 	pull->link.bytes_a_second = e->settings->link_mbps * 1e6 / 8;
@@ -360,6 +378,6 @@
 	fetcher_release(&pull->routes);
 	fetcher_release(&pull->targets);
 	listener_close(&pull->listener);
-	g_clear_pointer(&pull->packed, g_bytes_unref);
-	g_clear_pointer(&pull->list, g_bytes_unref);
+	g_clear_pointer(&pull->compressed_routes, g_bytes_unref);
+	g_clear_pointer(&pull->compressed_list, g_bytes_unref);
 }
--- a/entry/pull.h
+++ b/entry/pull.h
@@ -1,33 +1,34 @@
+/* Transfer of configurations and target lists between VMs over HTTP. */
 #ifndef PULL_H
 #define PULL_H
 
 #include "entry.h"
 #include "spread.h"
 
-/* What is too large for a datagram, fetched from a VM that has it. has_news is
- * called when this VM has something that others may ask it for. */
+/* Client and server for data that does not fit into a datagram. on_new_data is
+ * called when this VM has got data that other VMs may fetch from it. */
 struct pull {
 	struct entry *e;
-	void (*has_news)(struct entry *e);
+	void (*on_new_data)(struct entry *e);
 	struct fetcher routes;
 	struct fetcher targets;
-	struct tr_spread spread;
-	struct tr_spread first_list;
-	struct tr_spread_link link;
-	apr_time_t targets_at;
-	GBytes *packed;
-	uint64_t packed_revision;
-	uint64_t packed_digest;
-	GBytes *list;
-	apr_time_t list_at;
-	uint64_t list_digest;
-	size_t list_length;
-	uint64_t list_text_digest;
+	struct tr_spread spread;     /* which VM to ask for routes, and when */
+	struct tr_spread first_list; /* the same for the first target list */
+	struct tr_spread_link link;  /* bandwidth for serving other VMs */
+	apr_time_t targets_asked_at;
+	GBytes *compressed_routes;
+	uint64_t compressed_revision;
+	uint64_t routes_digest; /* of the uncompressed text */
+	GBytes *compressed_list;
+	apr_time_t list_compressed_at;
+	uint64_t roster_digest; /* of the roster that the list was made from */
+	size_t list_text_len;
+	uint64_t list_digest; /* of the uncompressed text */
 	struct listener listener;
 };
 
 int pull_open(struct pull *pull, struct entry *e, const char *address,
-	      void (*has_news)(struct entry *e));
+	      void (*on_new_data)(struct entry *e));
 void pull_step(struct pull *pull);
 void pull_targets(struct pull *pull, uint32_t ip);
 void pull_release(struct pull *pull);
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -1,8 +1,8 @@
 /*
- * Reads the platform's store. Two VMs watch it for all; any other reads only
- * when what it hears has grown old, the sooner the higher it stands in the
- * order of readers, so that one or two step in for a reader that is lost and
- * not the whole fleet at once.
+ * Reads the platform's store. Two VMs watch it for the whole fleet. Another VM
+ * reads only when its list has become stale; the higher it ranks in the order
+ * of readers, the sooner, so that one or two VMs replace a lost reader rather
+ * than the whole fleet at once.
  */
 #include "reader.h"
 
@@ -16,53 +16,54 @@
 #include "mesh.h"
 #include "spread.h"
 
-/* How long a watch waits for a change before it is answered without. Changes
- * come at once; this bounds how old the list can be that a reader vouches for,
- * at the price of a call each: two readers make three a second. */
+/* Timeout of a watch that sees no change. Changes are returned at once; the
+ * timeout bounds the age of the list that a reader vouches for, at the price of
+ * one call each time: two readers make three calls a second. */
 #define WATCH_WAIT TR_MSEC(400)
-/* Between two watches. Targets that beat every second or two answer each watch
- * at once, so this is what decides how many calls there are: with 50 ms 24 a
- * second for both readers before 345 targets. What changes is known to all that
- * much later, a sixth of the two seconds that operators allow. */
-#define PACE TR_MSEC(250)
-/* The list is old when nobody has vouched for it for two waits. */
-#define OLD TR_MSEC(1000)
-/* What each VM before this one in the order adds to that. */
-#define OLD_A_RANK TR_MSEC(120)
-/* How long a VM waits at its start for another that has read, each by another
- * part, unless it is one of the seeds, by which all find each other: they read
- * at once. Of 442 VMs that start together the others then need no call; each
- * made 18, for 819 targets. */
-#define START_WAIT_LEAST TR_MSEC(700)
-#define START_WAIT_MS	 2000
-/* How long at its start a VM leaves it to others that have what it lacks. */
-#define START_LEFT TR_MSEC(3000)
-/* How often a VM that does not read looks at whether it should. */
+/* Pause between two watches. Targets that renew their records every second or
+ * two end each watch at once, so the pause determines the number of calls: with
+ * 50 ms, two readers made 24 calls a second for 345 targets. It delays changes
+ * by a sixth of the two seconds that operators allow. */
+#define WATCH_INTERVAL TR_MSEC(250)
+/* The list is stale when no reader has vouched for it for two waits. */
+#define VIEW_STALE TR_MSEC(1000)
+/* Added to that for each VM that ranks before this one. */
+#define VIEW_STALE_PER_RANK TR_MSEC(120)
+/* After its start a VM waits this long for another one that has read the store;
+ * VMs wait different times. Seeds, by which all VMs find each other, read at
+ * once. When 442 VMs start together, the others then need no call; without the
+ * wait each made 18, for 819 targets. */
+#define START_WAIT_MIN	     TR_MSEC(700)
+#define START_WAIT_SPREAD_MS 2000
+/* After this time a VM reads the store even though other VMs have what it
+ * lacks. */
+#define START_WAIT_MAX TR_MSEC(3000)
+/* How often a VM that does not read checks whether it should. */
 #define LOOK_EVERY TR_MSEC(100)
-/* Answers take milliseconds, and in bad times some 60 times as long. */
+/* Answers take milliseconds, under bad conditions some 60 times as long. */
 #define TIMEOUT TR_MSEC(700)
-/* After a failure; doubled up to the most, so that a store that is down is not
- * called by the whole fleet several times a second. */
-#define RETRY_FIRST TR_MSEC(250)
-#define RETRY_MOST  TR_MSEC(1500)
-/* A reader whose watches bring no change lists everything again when its proof
- * of the configuration has used up this part of its time. */
-#define PROOF_OLD 0.35
-/* Failures in a row after which another VM should read. */
-#define FAILURES_SAID 2
+/* Delay after a failure, doubled up to the maximum, so that the fleet does not
+ * call a store that is down several times a second. */
+#define RETRY_DELAY_MIN TR_MSEC(250)
+#define RETRY_DELAY_MAX TR_MSEC(1500)
+/* A reader whose watches return no changes lists all keys again when the proof
+ * of its configuration has used up this share of its lifetime. */
+#define PROOF_RENEW_SHARE 0.35
+/* Consecutive failures after which another VM should read. */
+#define FAILURES_REPORTED 2
 
 struct reader {
 	struct entry *e;
 	struct fetcher fetch;
 	struct sockaddr_in store;
 	bool listing;
-	bool must_list;
-	uint64_t list_as_of;
+	bool needs_listing;
+	uint64_t list_as_of; /* revision of the list's first page, or 0 */
 	GArray *records;
-	char *list_after;
+	char *list_cursor; /* last key of the previous page */
 	apr_time_t next_at;
-	apr_time_t asked_at;
-	apr_time_t listed_at;
+	apr_time_t sent_at;
+	apr_time_t listing_started_at;
 	apr_time_t retry;
 	unsigned failures;
 };
@@ -72,16 +73,16 @@
 	return &r->e->members.nodes[0];
 }
 
-static void failed(struct reader *r, const char *why, int status)
+static void handle_failure(struct reader *r, const char *why, int status)
 {
 	r->e->counts.store_failures++;
 	r->listing = false;
-	r->retry = r->retry ? r->retry * 2 : RETRY_FIRST;
-	if (r->retry > RETRY_MOST)
-		r->retry = RETRY_MOST;
+	r->retry = r->retry ? r->retry * 2 : RETRY_DELAY_MIN;
+	if (r->retry > RETRY_DELAY_MAX)
+		r->retry = RETRY_DELAY_MAX;
 	r->next_at = entry_now(r->e) + r->retry / 2 +
 		     tr_random_below(&r->e->random, (uint32_t)r->retry);
-	if (++r->failures == FAILURES_SAID) {
+	if (++r->failures == FAILURES_REPORTED) {
 		self(r)->cannot_read = true;
 		eventlog(EVENT_BELIEF, "store-lost", "why=%s status=%d", why,
 			 status);
@@ -89,19 +90,20 @@
 }
 
 /*
- * What was asked for then is in force here. A watch that brought no change
- * proves nothing: one that the store has cut off from its changes looks just
- * so. Nor does an answer with a configuration that can't be read.
+ * Records that the configuration in force here was current at sent_at. A watch
+ * without changes proves nothing, since a store that is cut off from its own
+ * updates answers the same way; nor does an answer whose configuration is
+ * invalid.
  */
-static void prove(struct reader *r, apr_time_t asked_at, bool changed)
+static void renew_proof(struct reader *r, apr_time_t sent_at, bool changed)
 {
 	struct entry *e = r->e;
 
 	if (changed && e->routes && e->refused_revision <= e->routes->revision)
-		tr_proof_renew(&e->proof, asked_at);
+		tr_proof_renew(&e->proof, sent_at);
 }
 
-static void succeeded(struct reader *r, uint64_t as_of)
+static void handle_success(struct reader *r, uint64_t as_of)
 {
 	struct entry *e = r->e;
 	apr_time_t now = entry_now(e);
@@ -112,13 +114,13 @@
 	self(r)->cannot_read = false;
 	r->failures = 0;
 	r->retry = 0;
-	r->next_at = now + PACE;
-	/* The store's answer was true at some time after it was asked. */
-	tr_roster_confirm(&e->roster, as_of, now - r->asked_at, now);
+	r->next_at = now + WATCH_INTERVAL;
+	/* The answer reflects the store at some time after the request. */
+	tr_roster_confirm(&e->roster, as_of, now - r->sent_at, now);
 	mesh_broadcast_list(e->mesh);
 }
 
-static void take_items(struct reader *r, const struct store_page *page)
+static void apply_items(struct reader *r, const struct store_page *page)
 {
 	for (guint i = 0; i < page->items->len; i++) {
 		struct store_item *item =
@@ -130,39 +132,39 @@
 	}
 }
 
-static void ask(struct reader *r);
+static void send_request(struct reader *r);
 
-static void took_list_page(struct reader *r, const struct store_page *page)
+static void handle_list_page(struct reader *r, const struct store_page *page)
 {
 	struct entry *e = r->e;
 	guint n = page->items->len;
 
-	/* Pages are read one after the other, so the whole holds as of the
-	 * first; the watch goes on from there. */
+	/* Pages are read one after the other, so the list as a whole is valid
+	 * as of the first page; the watch continues from there. */
 	if (!r->list_as_of)
 		r->list_as_of = page->as_of;
-	take_items(r, page);
-	if (page->more && n) {
-		g_free(r->list_after);
-		r->list_after = g_strdup(
+	apply_items(r, page);
+	if (page->has_more && n) {
+		g_free(r->list_cursor);
+		r->list_cursor = g_strdup(
 			g_array_index(page->items, struct store_item, n - 1)
 				.key);
-		ask(r);
+		send_request(r);
 		return;
 	}
 	tr_roster_drop_unlisted(
 		&e->roster, (struct tr_target_record *)(void *)r->records->data,
 		r->records->len, r->list_as_of, entry_now(e));
 	r->listing = false;
-	r->must_list = false;
-	prove(r, r->listed_at, true);
+	r->needs_listing = false;
+	renew_proof(r, r->listing_started_at, true);
 	eventlog(EVENT_BELIEF, "list",
 		 "targets=%u as_of=%" PRIu64 " from=store", r->records->len,
 		 r->list_as_of);
-	succeeded(r, r->list_as_of);
+	handle_success(r, r->list_as_of);
 }
 
-static void answered(void *ctx, const struct message *answer)
+static void handle_answer(void *ctx, const struct message *answer)
 {
 	struct reader *r = ctx;
 	struct entry *e = r->e;
@@ -173,12 +175,12 @@
 	if (answer && status == e->dialect->history_lost_status) {
 		eventlog(EVENT_BELIEF, "history-lost", "as_of=%" PRIu64,
 			 e->roster.as_of);
-		r->must_list = true;
+		r->needs_listing = true;
 		r->next_at = entry_now(e);
 		return;
 	}
 	if (status != 200) {
-		failed(r, answer ? "status" : "no-answer", status);
+		handle_failure(r, answer ? "status" : "no-answer", status);
 		return;
 	}
 	store_page_init(&page);
@@ -187,43 +189,44 @@
 		eventlog(EVENT_FAILURE, "store-nonsense",
 			 "field=%s value=\"%s\" expected=\"%s\"", err.field,
 			 err.value, err.expected);
-		failed(r, "nonsense", status);
+		handle_failure(r, "nonsense", status);
 	} else if (r->listing) {
-		took_list_page(r, &page);
+		handle_list_page(r, &page);
 	} else {
-		take_items(r, &page);
-		prove(r, r->asked_at, page.items->len > 0);
-		succeeded(r, page.as_of);
+		apply_items(r, &page);
+		renew_proof(r, r->sent_at, page.items->len > 0);
+		handle_success(r, page.as_of);
 	}
 	store_page_clear(&page);
 }
 
-/* Call for what is wanted next: a page of the list, or what has changed. */
-static void ask(struct reader *r)
+/* Requests the next page of the list, or the changes since the last answer. */
+static void send_request(struct reader *r)
 {
 	struct entry *e = r->e;
 	const struct dialect *d = e->dialect;
 	g_autofree char *path =
-		r->listing ? d->list_path(d->everything, r->list_after)
-			   : d->watch_path(d->everything, e->roster.as_of,
+		r->listing ? d->list_path(d->root_prefix, r->list_cursor)
+			   : d->watch_path(d->root_prefix, e->roster.as_of,
 					   WATCH_WAIT);
 
 	e->counts.store_calls++;
-	r->asked_at = entry_now(e);
+	r->sent_at = entry_now(e);
 	if (fetcher_get(&r->fetch, &r->store, path,
-			TIMEOUT + (r->listing ? 0 : WATCH_WAIT), answered, r))
-		failed(r, "unreached", 0);
+			TIMEOUT + (r->listing ? 0 : WATCH_WAIT), handle_answer,
+			r))
+		handle_failure(r, "unreached", 0);
 }
 
-static void begin_list(struct reader *r)
+static void start_listing(struct reader *r)
 {
 	r->listing = true;
-	r->listed_at = entry_now(r->e);
+	r->listing_started_at = entry_now(r->e);
 	r->list_as_of = 0;
-	g_free(r->list_after);
-	r->list_after = NULL;
+	g_free(r->list_cursor);
+	r->list_cursor = NULL;
 	g_array_set_size(r->records, 0);
-	ask(r);
+	send_request(r);
 }
 
 static bool is_seed(const struct entry *e)
@@ -238,47 +241,49 @@
 	return false;
 }
 
-/* Nothing is known yet: wait for others, or read? */
-static bool wanted_at_start(const struct reader *r, apr_time_t now)
+/* Whether to read although nothing is known yet, rather than to wait for other
+ * VMs. */
+static bool should_read_at_start(const struct reader *r, apr_time_t now)
 {
 	const struct entry *e = r->e;
 	apr_time_t since = now - e->started_at;
-	uint64_t drawn =
+	uint64_t hash =
 		tr_hash_pair(e->members.nodes[0].ip, e->members.nodes[0].boot);
 
-	if (since >= START_LEFT || is_seed(e))
+	if (since >= START_WAIT_MAX || is_seed(e))
 		return true;
 	if (tr_spread_newest_revision(&e->members, TR_RESOURCE_LIST, now))
 		return false;
-	return since >= START_WAIT_LEAST + TR_MSEC(drawn % START_WAIT_MS);
+	return since >= START_WAIT_MIN + TR_MSEC(hash % START_WAIT_SPREAD_MS);
 }
 
-static bool wanted(const struct reader *r, apr_time_t now)
+static bool should_read(const struct reader *r, apr_time_t now)
 {
 	const struct entry *e = r->e;
-	apr_time_t old = OLD;
+	apr_time_t old = VIEW_STALE;
 
 	if (!e->roster.confirmed_at || !e->routes)
-		return wanted_at_start(r, now);
+		return should_read_at_start(r, now);
 	if (tr_membership_is_reader(&e->members, now))
 		return true;
 	if (entry_view_age(e) <= old)
 		return false;
-	old += tr_membership_read_rank(&e->members, now) * OLD_A_RANK;
+	old += tr_membership_read_rank(&e->members, now) * VIEW_STALE_PER_RANK;
 	return entry_view_age(e) > old;
 }
 
-/* Do watches bring nothing that would prove the configuration? */
-static bool lacks_proof(const struct entry *e, apr_time_t now)
+/* Whether the configuration needs a new proof, which watches without changes
+ * don't give. */
+static bool needs_proof(const struct entry *e, apr_time_t now)
 {
 	const struct entry_settings *s = e->settings;
 
 	return s->bounds.fail_closed && e->routes->organisations &&
 	       (double)tr_proof_age(&e->proof, now) >
-		       PROOF_OLD * (double)s->key_proof_us;
+		       PROOF_RENEW_SHARE * (double)s->key_proof_us;
 }
 
-/* Read when it is due; call every 50 ms or so. */
+/* Reads when it is due. To be called every 50 ms or so. */
 void reader_step(struct reader *r)
 {
 	const struct entry *e = r->e;
@@ -286,26 +291,27 @@
 
 	if (r->fetch.busy || now < r->next_at || e->leaving)
 		return;
-	if (!wanted(r, now)) {
+	if (!should_read(r, now)) {
 		if (e->roster.confirmed_at && e->routes)
 			r->next_at = now + LOOK_EVERY;
 		return;
 	}
-	/* Changes can be followed only from a list that was whole. */
-	if (!e->roster.as_of || !e->routes || r->must_list ||
-	    lacks_proof(e, now))
-		begin_list(r);
+	/* A watch needs a complete list to start from. */
+	if (!e->roster.as_of || !e->routes || r->needs_listing ||
+	    needs_proof(e, now))
+		start_listing(r);
 	else
-		ask(r);
+		send_request(r);
 }
 
-/* The settings have changed. */
+/* Applies changed settings. */
 void reader_reload(struct reader *r)
 {
 	stream_parse_address(r->e->settings->store, &r->store);
 }
 
-/* This process stood still: whatever was asked before is void. */
+/* To be called after the process was suspended: drops the pending request,
+ * whose answer is out of date. */
 void reader_reset(struct reader *r)
 {
 	fetcher_cancel(&r->fetch);
@@ -330,6 +336,6 @@
 		return;
 	fetcher_release(&r->fetch);
 	g_array_free(r->records, TRUE);
-	g_free(r->list_after);
+	g_free(r->list_cursor);
 	free(r);
 }
--- a/entry/reader.h
+++ b/entry/reader.h
@@ -1,3 +1,5 @@
+/* Keeps the target list and the configuration current from the platform's
+ * store. */
 #ifndef READER_H
 #define READER_H
 
