--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -1,8 +1,8 @@
 /*
- * What this VM and the others of its group tell each other: that they live,
- * what they saw of targets, how many requests they have there, which
- * configuration they hold, and, from those that read the store, what has
- * changed in the list. A message is the same for all, and is encoded once.
+ * Messages between this VM and the other VMs of its group: that it is alive,
+ * what it has observed at targets, its requests in flight there, which
+ * configuration it holds, and, from VMs that read the store, changes of the
+ * target list. All VMs get the same message, which is encoded once.
  */
 #include "mesh.h"
 
@@ -22,100 +22,103 @@
 #include "mesh_internal.h"
 
 #define SOCKET_BUFFER (512 * 1024)
-/* Datagrams read at one wake-up, so that callers get their turn. */
-#define DATAGRAMS_A_TURN 64
-/* Shortest time between two messages that tell of outcomes, and a VM's part of
- * it: a thousand messages a second arrive at most, whatever the group's size.
- * With half of it 96 VMs spent 0.0141 of a core each on a quiet day, mostly on
- * messages, and the day lost 0.02 of its worth to that; with half as much again
- * 44 VMs let 0.0356 instead of 0.0348 fail. First failures don't wait for it.
- */
-#define URGENT_GAP	TR_MSEC(40)
-#define URGENT_GAP_A_VM 1000
-#define NODES_TOLD	3
-/* Lines a second, in the mean, of messages that can't be taken. */
+/* Datagrams read per wake-up, so that requests of callers are not delayed. */
+#define DATAGRAMS_PER_WAKEUP 64
+/* Minimum time between two messages about outcomes, as a constant and per VM of
+ * the group: at most a thousand messages a second arrive, whatever the group's
+ * size. With half of the time, 96 VMs spent 0.0141 of a core each on a quiet
+ * day, mostly on messages, which cost the day 0.02 of its score; with half as
+ * much again, 0.0356 instead of 0.0348 of the requests failed with 44 VMs. The
+ * first failure of a target is sent without this delay. */
+#define URGENT_GAP	  TR_MSEC(40)
+#define URGENT_GAP_PER_VM 1000
+#define NODES_ADVERTISED  3
+/* Log lines a second, on average, about messages that are rejected. */
 #define REFUSAL_LINES_A_S 0.2
-/* How often lost VMs are looked for, more often before this one is ready. */
-#define CALL_EVERY TR_MSEC(100)
+/* Interval at which lost VMs are contacted; a VM that is not ready yet does so
+ * in every step. */
+#define CONTACT_INTERVAL TR_MSEC(100)
 
-/* The changes of the list that did not fit into the first message. */
-static void tell_more_changes(struct mesh *mesh, uint32_t next, apr_time_t now)
+/* Sends the list changes that did not fit into the first message. */
+static void broadcast_more_changes(struct mesh *mesh, uint32_t next,
+				   apr_time_t now)
 {
 	struct mesh_changes changes;
 	struct mesh_message msg;
 
 	while (next < mesh->e->roster.count) {
-		mesh_fill_head(mesh, &msg);
-		msg.flags |= MESH_LISTS;
+		mesh_fill_header(mesh, &msg);
+		msg.flags |= MESH_LIST_UPDATE;
 		mesh_add_changes(mesh, &msg, &changes, &next, now);
-		if (mesh_bytes_of_changes(&msg))
-			mesh_tell_near(mesh, &msg, now);
+		if (mesh_changes_size(&msg))
+			mesh_broadcast_near(mesh, &msg, now);
 	}
 }
 
-static void tell_all(struct mesh *mesh)
+static void broadcast(struct mesh *mesh)
 {
 	struct mesh_changes changes;
 	struct mesh_row rows[MESH_MAX_ROWS];
 	struct mesh_work work[MESH_MAX_WORK];
-	struct mesh_use uses[MESH_MAX_USES];
+	struct mesh_usage usage[MESH_MAX_USAGE];
 	struct mesh_notices notices;
 	struct mesh_fatals fatals;
 	struct mesh_nodes nodes;
 	apr_time_t now = entry_now(mesh->e);
 	struct mesh_message msg;
-	bool lists = mesh->lists;
+	bool list_update = mesh->list_update;
 	bool fatal_news = false;
 	uint32_t next = 0;
 	size_t used;
 
-	mesh_fill_head(mesh, &msg);
-	if (lists)
+	mesh_fill_header(mesh, &msg);
+	if (list_update)
 		mesh_add_changes(mesh, &msg, &changes, &next, now);
-	mesh_add_nodes(mesh, &msg, &nodes, NULL, NODES_TOLD, now);
+	mesh_add_nodes(mesh, &msg, &nodes, NULL, NODES_ADVERTISED, now);
 	mesh_add_work(mesh, &msg, work);
-	mesh_add_uses(mesh, &msg, uses);
-	used = BYTES_HEAD + mesh_bytes_of_changes(&msg) +
-	       msg.uses.uses_len * sizeof(*uses);
-	if (used < DATAGRAM_MOST)
+	mesh_add_usage(mesh, &msg, usage);
+	used = HEADER_BYTES + mesh_changes_size(&msg) +
+	       msg.usage.usage_len * sizeof(*usage);
+	if (used < DATAGRAM_MAX)
 		fatal_news = mesh_add_fatals(mesh, &msg, &fatals,
-					     DATAGRAM_MOST - used, now);
-	used += mesh_bytes_of_fatals(&msg);
-	if (used < DATAGRAM_MOST)
+					     DATAGRAM_MAX - used, now);
+	used += mesh_fatals_size(&msg);
+	if (used < DATAGRAM_MAX)
 		used += mesh_add_notices(mesh, &msg, &notices,
-					 DATAGRAM_MOST - used, now);
-	if (used < DATAGRAM_MOST)
-		mesh_add_rows(mesh, &msg, rows, DATAGRAM_MOST - used);
-	mesh->lists = false;
-	mesh->soon = false;
+					 DATAGRAM_MAX - used, now);
+	if (used < DATAGRAM_MAX)
+		mesh_add_rows(mesh, &msg, rows, DATAGRAM_MAX - used);
+	mesh->list_update = false;
+	mesh->report_due = false;
 	mesh->reported_at = now;
-	mesh_tell_near(mesh, &msg, now);
+	mesh_broadcast_near(mesh, &msg, now);
 	if (fatal_news)
-		mesh_fatals_to_groups(mesh, &msg, now);
-	if (lists)
-		tell_more_changes(mesh, next, now);
+		mesh_send_fatals_to_groups(mesh, &msg, now);
+	if (list_update)
+		broadcast_more_changes(mesh, next, now);
 }
 
 /*
- * A message of another version, or nonsense. During an upgrade the VMs of each
- * version act together and not across; the lines say which VM to look at.
+ * Counts and logs a message of another version or fleet, or a malformed one.
+ * During an upgrade the VMs of each version form a mesh of their own; the log
+ * lines show which VMs have the other version.
  */
-static void refuse_message(struct mesh *mesh, const struct sockaddr_in *from)
+static void reject_message(struct mesh *mesh, const struct sockaddr_in *from)
 {
 	char ip[INET_ADDRSTRLEN] = "";
 
 	mesh->e->counts.messages_refused++;
-	if (!tr_pacer_allows(&mesh->refusal_lines, REFUSAL_LINES_A_S,
+	if (!tr_pacer_allows(&mesh->rejection_log_pacer, REFUSAL_LINES_A_S,
 			     entry_now(mesh->e)))
 		return;
-	tr_pacer_consume(&mesh->refusal_lines, 1);
+	tr_pacer_consume(&mesh->rejection_log_pacer, 1);
 	inet_ntop(AF_INET, &from->sin_addr, ip, sizeof(ip));
 	eventlog(EVENT_FAILURE, "message-refused",
 		 "from=%s expected=\"a message of version %d of this fleet\"",
 		 ip, MESH_VERSION);
 }
 
-static void readable(void *ctx, int fd, int events)
+static void handle_readable(void *ctx, int fd, int events)
 {
 	struct mesh *mesh = ctx;
 	struct mesh_message msg;
@@ -123,7 +126,7 @@
 	char buf[2048];
 
 	(void)events;
-	for (int i = 0; i < DATAGRAMS_A_TURN; i++) {
+	for (int i = 0; i < DATAGRAMS_PER_WAKEUP; i++) {
 		struct sockaddr_in from = { 0 };
 		socklen_t from_len = sizeof(from);
 		ssize_t n = recvfrom(fd, buf, sizeof(buf), MSG_DONTWAIT,
@@ -133,47 +136,47 @@
 			return;
 		if (!mesh_decode(buf, (size_t)n, &msg, &procedure) ||
 		    msg.fleet != mesh->fleet) {
-			refuse_message(mesh, &from);
+			reject_message(mesh, &from);
 		} else {
-			if (procedure == MESH_HAND_ON)
-				mesh_hand_on(mesh, buf, (size_t)n);
+			if (procedure == MESH_FORWARD)
+				mesh_forward(mesh, buf, (size_t)n);
 			mesh_handle_message(mesh, &msg, msg.sender);
 		}
 		xdr_free((xdrproc_t)xdr_mesh_message, (char *)&msg);
 	}
 }
 
-/* Something that others should know soon has changed. */
+/* Schedules a broadcast, subject to the minimum gap between messages. */
 void mesh_schedule_report(struct mesh *mesh)
 {
-	mesh->soon = true;
+	mesh->report_due = true;
 }
 
-/* The list was just read from the store: pass on what changed, and its age. */
+/* Broadcasts the changes and the age of a list just read from the store. */
 void mesh_broadcast_list(struct mesh *mesh)
 {
-	mesh->lists = true;
-	tell_all(mesh);
+	mesh->list_update = true;
+	broadcast(mesh);
 }
 
-/* Tell at once, without regard to the pace. */
+/* Broadcasts without regard to the minimum gap, and reports to other groups. */
 void mesh_broadcast_now(struct mesh *mesh)
 {
-	tell_all(mesh);
-	mesh_away_tell(mesh, entry_now(mesh->e));
+	broadcast(mesh);
+	mesh_report_to_groups(mesh, entry_now(mesh->e));
 }
 
-/* Find the homes of targets that are new, or of all when the groups that live
- * have changed. */
-static void find_homes(struct mesh *mesh)
+/* Assigns each new target to its home group, or all targets once the set of
+ * live groups has changed. */
+static void assign_homes(struct mesh *mesh)
 {
 	struct tr_roster *roster = &mesh->e->roster;
 	const struct tr_membership *m = &mesh->e->members;
 
-	if (!roster->homes_stale && mesh->homes_of == m->generation)
+	if (!roster->homes_stale && mesh->homes_generation == m->generation)
 		return;
 	roster->homes_stale = false;
-	mesh->homes_of = m->generation;
+	mesh->homes_generation = m->generation;
 	for (unsigned i = 0; i < roster->count; i++) {
 		struct tr_instance *row = &roster->rows[i];
 
@@ -185,7 +188,8 @@
 	}
 }
 
-/* Another set of groups lives than before: their targets have other homes. */
+/* Logged when the set of live groups has changed, and with it the home groups
+ * of targets. */
 static void log_groups(const struct tr_membership *m)
 {
 	unsigned alive = 0;
@@ -198,7 +202,7 @@
 		 m->groups[m->nodes[0].group].alive, tr_membership_size(m));
 }
 
-/* Send what is due; call every 25 ms or so. */
+/* Sends what is due. To be called every 25 ms or so. */
 void mesh_step(struct mesh *mesh)
 {
 	struct tr_membership *m = &mesh->e->members;
@@ -206,22 +210,22 @@
 	apr_time_t since = now - mesh->reported_at;
 	apr_time_t gap = URGENT_GAP;
 
-	if ((apr_time_t)m->near_count * URGENT_GAP_A_VM > gap)
-		gap = (apr_time_t)m->near_count * URGENT_GAP_A_VM;
+	if ((apr_time_t)m->near_count * URGENT_GAP_PER_VM > gap)
+		gap = (apr_time_t)m->near_count * URGENT_GAP_PER_VM;
 	if (tr_groups_count_alive(m, now) && m->groups_count > 1)
 		log_groups(m);
-	find_homes(mesh);
-	if (!mesh->e->ready || now - mesh->probed_at >= CALL_EVERY) {
-		mesh->probed_at = now;
-		mesh_call_lost(mesh, now);
+	assign_homes(mesh);
+	if (!mesh->e->ready || now - mesh->contacted_at >= CONTACT_INTERVAL) {
+		mesh->contacted_at = now;
+		mesh_contact_lost(mesh, now);
 		mesh_forget_lost(mesh, now);
 	}
 	pull_step(&mesh->pull);
-	mesh_ask_proof(mesh, now);
-	if ((mesh->soon && since >= gap) ||
+	mesh_request_proof(mesh, now);
+	if ((mesh->report_due && since >= gap) ||
 	    since >= tr_membership_period(m, now))
-		tell_all(mesh);
-	mesh_away_step(mesh, now);
+		broadcast(mesh);
+	mesh_groups_step(mesh, now);
 }
 
 static int open_socket(const struct entry_settings *s)
@@ -243,7 +247,7 @@
 	return -1;
 }
 
-/* Learn the seeds of the settings; they are called like lost VMs. */
+/* Adds the seeds of the settings, which are contacted like lost VMs. */
 void mesh_add_seeds(struct mesh *mesh)
 {
 	const struct entry_settings *s = mesh->e->settings;
@@ -255,13 +259,14 @@
 						  seed.sin_addr.s_addr);
 }
 
-/* So that others of the group can ask this VM for what it has pulled. */
-static void pulled(struct entry *e)
+/* Announces what was pulled, so that others of the group can fetch it here. */
+static void handle_pulled(struct entry *e)
 {
 	mesh_broadcast_now(e->mesh);
 }
 
-/* Begin to listen and to call the seeds. NULL and err without the port. */
+/* Opens the sockets and adds the seeds. Returns NULL and sets err if a port is
+ * in use. */
 struct mesh *mesh_open(struct entry *e, struct tr_error *err)
 {
 	struct mesh *mesh = calloc(1, sizeof(*mesh));
@@ -278,17 +283,17 @@
 		return NULL;
 	}
 	snprintf(address, sizeof(address), "%s:%u", s->ip, s->peer_port);
-	if (pull_open(&mesh->pull, e, address, pulled)) {
+	if (pull_open(&mesh->pull, e, address, handle_pulled)) {
 		tr_error_set(err, TR_PORT_IN_USE, "peer_port", address,
 			     "expected a free TCP port: %s", strerror(errno));
 		close(mesh->fd);
 		free(mesh);
 		return NULL;
 	}
-	/* Keeps datagrams of another fleet out; it is no secret. */
+	/* Rejects datagrams of another fleet; not a secret. */
 	mesh->fleet = (uint32_t)tr_hash_string(s->store) ^ s->peer_port;
 	mesh_add_seeds(mesh);
-	loop_watch(e->loop, mesh->fd, LOOP_READ, readable, mesh);
+	loop_watch(e->loop, mesh->fd, LOOP_READ, handle_readable, mesh);
 	return mesh;
 }
 
--- a/entry/mesh.h
+++ b/entry/mesh.h
@@ -1,3 +1,4 @@
+/* Messages between the entry VMs of a fleet. */
 #ifndef MESH_H
 #define MESH_H
 
--- a/entry/mesh.x
+++ b/entry/mesh.x
@@ -1,35 +1,40 @@
-/* What entry VMs tell each other: one-way ONC RPC calls over UDP. */
+/* Messages between entry VMs: one-way ONC RPC calls over UDP. Counters are
+ * running totals that wrap around, so that later messages make up for a lost
+ * one. */
 
 const MESH_MAX_ID = 63;
 const MESH_MAX_ADDRESS = 23;
 const MESH_MAX_ROWS = 48;
 const MESH_MAX_WORK = 16;
 const MESH_MAX_RECORDS = 8;
-const MESH_MAX_MARKS = 48;
+const MESH_MAX_DEPARTURES = 48;
 const MESH_MAX_NODES = 160;
-const MESH_MAX_CENTRES = 32;
+const MESH_MAX_DATA_CENTRES = 32;
 const MESH_MAX_MEMBERS = 160;
 const MESH_MAX_STATES = 160;
-const MESH_MAX_USES = 48;
+const MESH_MAX_USAGE = 48;
 const MESH_MAX_DEMANDS = 64;
 const MESH_MAX_ENDS = 6;
 const MESH_MAX_FATALS = 8;
 const MESH_MAX_LIMITS = 16;
 const MESH_MAX_LEAVING = 16;
 
-/* Running totals of the sender's outcomes at a target, two a word. */
+/* The sender's running totals of outcomes at a target, two per word, and its
+ * requests in flight there. */
 struct mesh_row {
 	unsigned int target;
 	unsigned int totals[4];
 	unsigned int in_flight;
 };
 
-/* Requests for a service and those sent once more, two totals in a word. */
+/* Running totals for a service: requests in the upper half of the word, retries
+ * in the lower. */
 struct mesh_work {
 	unsigned int service;
 	unsigned int totals;
 };
 
+/* A target as the platform lists it. */
 struct mesh_record {
 	string id<MESH_MAX_ID>;
 	string service<MESH_MAX_ID>;
@@ -42,56 +47,58 @@
 	unsigned hyper born;
 };
 
-/* A target that the others know has begun to leave, or is gone. */
-struct mesh_mark {
+/* A known target that is now leaving or gone. */
+struct mesh_departure {
 	unsigned int target;
 	unsigned int flags;
 	unsigned hyper revision;
 };
 
-/* VMs by their addresses; without a name, of the sender's data centre. */
-struct mesh_centre {
+/* Addresses of VMs of a data centre; an empty name stands for the sender's. */
+struct mesh_data_centre {
 	string name<MESH_MAX_ID>;
 	unsigned int nodes<MESH_MAX_NODES>;
 };
 
-/* A VM of the sender's group that is not simply ready. */
+/* A VM of the sender's group that is leaving or can't read the store. */
 struct mesh_member {
 	unsigned int ip;
 	unsigned int flags;
 };
 
-/* What the sender's group knows of a target: the chance that it is gray, in
- * thousandths, in the upper half, and the requests there in the lower. */
+/* The state of a target as the sender's group sees it: the probability of a
+ * gray failure, in thousandths, in the upper half of the word, and the requests
+ * in flight there in the lower half. */
 struct mesh_state {
 	unsigned int target;
 	unsigned int risk_and_in_flight;
 };
 
-/* An organisation's requests at the sender: those that came, in the upper half
- * of the word, and those that it let through, as running totals. */
-struct mesh_use {
+/* An organisation's requests at the sender, as running totals: received in the
+ * upper half of the word, admitted in the lower. */
+struct mesh_usage {
 	unsigned int organisation;
 	unsigned int totals;
 };
 
-/* An organisation's requests at the sender's group, in hundredths a second. */
+/* An organisation's request rate at the sender's group, in hundredths of a
+ * request per second. */
 struct mesh_demand {
 	unsigned int organisation;
 	unsigned int rate;
 };
 
-/* A target that ended while it ran a request, how long ago, and how many such
- * ends were known when it was sent. */
+/* A target that ended while it ran the request: how long ago, and how many such
+ * ends were known when the request was sent there. */
 struct mesh_end {
 	unsigned int target;
 	unsigned int known;
 	unsigned int ended_ms;
 };
 
-/* A request under which targets ended. Ages in ms, 0 where it never happened:
- * when it was answered last, since when it is refused, when it was tried, and when
- * it was sent last as a suspect. */
+/* A request that made targets end. Ages in ms, 0 for never: when it was last
+ * answered, since when it is refused, when it was last tried, and when it was
+ * last sent as a trial of a suspected request. */
 struct mesh_fatal {
 	unsigned hyper identity;
 	unsigned int answered_ms;
@@ -102,9 +109,9 @@
 	mesh_end ends<MESH_MAX_ENDS>;
 };
 
-/* The limit that a target has named, in thousandths of a request a second, or
- * MESH_NO_LIMIT where it names none any more; how long ago an answer said so;
- * and how many requests the sender has sent it, as a running total. */
+/* A limit that a target has announced, in thousandths of a request per second,
+ * or MESH_NO_LIMIT once it announces none; the age of that announcement; and
+ * the sender's requests to the target, as a running total. */
 const MESH_NO_LIMIT = 4294967295;
 struct mesh_limit {
 	unsigned int target;
@@ -113,9 +120,11 @@
 	unsigned int sent;
 };
 
-/* proof_age_ms: how old the configuration is proven to be at most, or
- * UINT32_MAX. question and answers are numbers: one that asks for such a proof,
- * and the one that this message answers. */
+/* Every message describes its sender in the fields up to fleet_size; the lists
+ * carry what is new or due to be sent again. proof_age_ms: upper bound for the
+ * age of the configuration, or UINT32_MAX without a proof. question: identifies
+ * a request for such a proof, or 0. answers: the question that this message
+ * replies to, or 0. */
 struct mesh_message {
 	unsigned int fleet;
 	unsigned int sender;
@@ -131,26 +140,26 @@
 	unsigned hyper question;
 	unsigned hyper answers;
 	unsigned int fleet_size;
-	mesh_centre centres<MESH_MAX_CENTRES>;
+	mesh_data_centre data_centres<MESH_MAX_DATA_CENTRES>;
 	unsigned int members<MESH_MAX_MEMBERS>;
-	mesh_member others<MESH_MAX_MEMBERS>;
+	mesh_member not_ready<MESH_MAX_MEMBERS>;
 	mesh_state states<MESH_MAX_STATES>;
 	mesh_work work<MESH_MAX_WORK>;
-	mesh_use uses<MESH_MAX_USES>;
+	mesh_usage usage<MESH_MAX_USAGE>;
 	mesh_demand demands<MESH_MAX_DEMANDS>;
 	mesh_row rows<MESH_MAX_ROWS>;
 	mesh_record records<MESH_MAX_RECORDS>;
-	mesh_mark marks<MESH_MAX_MARKS>;
+	mesh_departure departures<MESH_MAX_DEPARTURES>;
 	mesh_fatal fatals<MESH_MAX_FATALS>;
 	mesh_limit limits<MESH_MAX_LIMITS>;
-	/* Targets that have said in their answers that they leave. */
+	/* Targets that have announced that they are leaving. */
 	unsigned int leaving<MESH_MAX_LEAVING>;
 };
 
 program MESH_PEER {
 	version MESH_VERSION {
-		void MESH_TELL(mesh_message) = 1;
-		/* The same, to be handed on in the receiver's data centre. */
-		void MESH_HAND_ON(mesh_message) = 2;
+		void MESH_REPORT(mesh_message) = 1;
+		/* The same; the receiver forwards it within its data centre. */
+		void MESH_FORWARD(mesh_message) = 2;
 	} = 6;
 } = 0x20544353;
--- a/entry/mesh_changes.c
+++ b/entry/mesh_changes.c
@@ -1,21 +1,21 @@
-/* Changes of the list of targets, as readers of the store tell them to all. */
+/* Changes of the target list, sent by the VMs that read the store. */
 #include "mesh_internal.h"
 
-/* A change of the list is told for so long, three readings by each reader, in
- * case a datagram is lost; a list that differs after that is pulled whole. */
-#define RECORD_TOLD    TR_MSEC(600)
-#define BYTES_A_MARK   16
-#define BYTES_A_RECORD 150
+/* A change is sent for this long, through three reads by each reader, in case a
+ * datagram is lost; a list that still differs after that is pulled whole. */
+#define CHANGE_REPORT_TIME TR_MSEC(600)
+#define DEPARTURE_BYTES	   16
+#define RECORD_BYTES	   150
 
 static void add_record(const struct mesh *mesh, struct mesh_message *msg,
-		       struct mesh_changes *lists,
+		       struct mesh_changes *storage,
 		       const struct tr_instance *row, apr_time_t now)
 {
 	unsigned n = msg->records.records_len++;
-	struct tr_target_record *t = &lists->typed[n];
+	struct tr_target_record *t = &storage->target_records[n];
 
 	tr_roster_export_record(&mesh->e->roster, row, t, now);
-	lists->records[n] = (struct mesh_record){
+	storage->records[n] = (struct mesh_record){
 		.id = t->id,
 		.service = t->service,
 		.address = t->address,
@@ -29,62 +29,65 @@
 	};
 }
 
-static void add_mark(struct mesh_message *msg, struct mesh_changes *lists,
-		     const struct tr_instance *row)
+static void add_departure(struct mesh_message *msg,
+			  struct mesh_changes *storage,
+			  const struct tr_instance *row)
 {
 	bool gone = row->gone || row->lapsed_at;
 
-	lists->marks[msg->marks.marks_len++] = (struct mesh_mark){
-		.target = row->hash,
-		.flags = (row->leaving ? RECORD_LEAVING : 0) |
-			 (gone ? RECORD_GONE : 0),
-		.revision = row->revision,
-	};
+	storage->departures[msg->departures.departures_len++] =
+		(struct mesh_departure){
+			.target = row->hash,
+			.flags = (row->leaving ? RECORD_LEAVING : 0) |
+				 (gone ? RECORD_GONE : 0),
+			.revision = row->revision,
+		};
 }
 
-/* Room that the changes in the message take, in bytes. */
-size_t mesh_bytes_of_changes(const struct mesh_message *msg)
+/* Size of the changes in the message, in bytes. */
+size_t mesh_changes_size(const struct mesh_message *msg)
 {
-	return msg->records.records_len * BYTES_A_RECORD +
-	       msg->marks.marks_len * BYTES_A_MARK;
+	return msg->records.records_len * RECORD_BYTES +
+	       msg->departures.departures_len * DEPARTURE_BYTES;
 }
 
 /*
- * What has changed of the rows from the one at next on; next is then where to
- * go on. That a target leaves is told by its name alone where the others know
- * it: with whole records the changes of a hundred targets, told to each VM of a
- * group, filled a link of 20 Mbit/s for half a second, datagrams were lost, and
- * two of 442 VMs still sent to one that had begun to leave 3.2 s before.
+ * Adds changes of the rows from next on, as many as fit, and sets next to the
+ * row to continue with. A known target that is leaving is sent by its hash
+ * alone. With whole records, the changes of a hundred targets, sent to each VM
+ * of a group, filled a link of 20 Mbit/s for half a second, datagrams were
+ * lost, and two of 442 VMs still sent requests to a target that had started
+ * leaving 3.2 s before.
  */
 void mesh_add_changes(const struct mesh *mesh, struct mesh_message *msg,
-		      struct mesh_changes *lists, uint32_t *next,
+		      struct mesh_changes *storage, uint32_t *next,
 		      apr_time_t now)
 {
 	const struct tr_roster *roster = &mesh->e->roster;
 
-	msg->records.records_val = lists->records;
-	msg->marks.marks_val = lists->marks;
+	msg->records.records_val = storage->records;
+	msg->departures.departures_val = storage->departures;
 	for (; *next < roster->count; (*next)++) {
 		const struct tr_instance *row = &roster->rows[*next];
-		bool is_known = now - row->known_since > RECORD_TOLD;
+		bool is_known = now - row->known_since > CHANGE_REPORT_TIME;
 		bool leaves = row->leaving || row->gone || row->lapsed_at;
 
 		if (!row->used || row->superseded || !row->changed_at ||
-		    now - row->changed_at > RECORD_TOLD)
+		    now - row->changed_at > CHANGE_REPORT_TIME)
 			continue;
-		if (BYTES_HEAD + mesh_bytes_of_changes(msg) + BYTES_A_RECORD >
-			    DATAGRAM_MOST ||
+		if (HEADER_BYTES + mesh_changes_size(msg) + RECORD_BYTES >
+			    DATAGRAM_MAX ||
 		    msg->records.records_len == MESH_MAX_RECORDS ||
-		    msg->marks.marks_len == MESH_MAX_MARKS)
+		    msg->departures.departures_len == MESH_MAX_DEPARTURES)
 			return;
 		if (is_known && leaves)
-			add_mark(msg, lists, row);
+			add_departure(msg, storage, row);
 		else
-			add_record(mesh, msg, lists, row, now);
+			add_record(mesh, msg, storage, row, now);
 	}
 }
 
-static void take_record(struct mesh *mesh, const struct mesh_record *in)
+static void apply_record(struct mesh *mesh, const struct mesh_record *in)
 {
 	struct tr_target_record r = {
 		.slots = in->slots,
@@ -102,8 +105,8 @@
 	entry_target(mesh->e, &r, "peer");
 }
 
-/* A target that is not known here is in the list that is pulled. */
-static void take_mark(struct mesh *mesh, const struct mesh_mark *in)
+/* Unknown targets are skipped; they come with the list that is pulled. */
+static void apply_departure(struct mesh *mesh, const struct mesh_departure *in)
 {
 	struct entry *e = mesh->e;
 	struct tr_instance *row = tr_roster_by_hash(&e->roster, in->target);
@@ -118,14 +121,14 @@
 	entry_target(e, &r, "peer");
 }
 
-/* Take in what has changed in the platform's list. */
+/* Handles changes of the target list. */
 void mesh_handle_changes(struct mesh *mesh, struct tr_node *node,
 			 const struct mesh_message *msg, apr_time_t now)
 {
 	(void)node;
 	(void)now;
 	for (u_int i = 0; i < msg->records.records_len; i++)
-		take_record(mesh, &msg->records.records_val[i]);
-	for (u_int i = 0; i < msg->marks.marks_len; i++)
-		take_mark(mesh, &msg->marks.marks_val[i]);
+		apply_record(mesh, &msg->records.records_val[i]);
+	for (u_int i = 0; i < msg->departures.departures_len; i++)
+		apply_departure(mesh, &msg->departures.departures_val[i]);
 }
--- a/entry/mesh_codec.c
+++ b/entry/mesh_codec.c
@@ -1,4 +1,4 @@
-/* Messages between VMs as bytes: one-way ONC RPC calls. */
+/* Encoding of messages between VMs as one-way ONC RPC calls. */
 #include <rpc/rpc.h>
 #include <string.h>
 
@@ -6,7 +6,7 @@
 
 #define RPC_VERSION 2
 
-static void fill_call(struct rpc_msg *call, rpcproc_t procedure)
+static void init_call(struct rpc_msg *call, rpcproc_t procedure)
 {
 	memset(call, 0, sizeof(*call));
 	call->rm_direction = CALL;
@@ -18,7 +18,8 @@
 	call->rm_call.cb_verf = _null_auth;
 }
 
-/* Encode as a one-way call. The length, or 0 when it does not fit. */
+/* Encodes the message as a one-way call. Returns the length, or 0 if it does
+ * not fit. */
 size_t mesh_encode(struct mesh_message *msg, rpcproc_t procedure, char *buf,
 		   size_t size)
 {
@@ -26,7 +27,7 @@
 	size_t len = 0;
 	XDR xdr;
 
-	fill_call(&call, procedure);
+	init_call(&call, procedure);
 	xdrmem_create(&xdr, buf, (u_int)size, XDR_ENCODE);
 	if (xdr_callmsg(&xdr, &call) && xdr_mesh_message(&xdr, msg))
 		len = xdr_getpos(&xdr);
@@ -34,7 +35,8 @@
 	return len;
 }
 
-/* Decode; what was allocated is to be freed by xdr_free in any case. */
+/* Decodes a message. The caller frees it with xdr_free(), also when this fails.
+ */
 bool mesh_decode(char *buf, size_t len, struct mesh_message *msg,
 		 rpcproc_t *procedure)
 {
@@ -56,7 +58,7 @@
 	return ok;
 }
 
-/* A target's totals, two in a word. */
+/* Fills in a target's totals, two per word. */
 void mesh_fill_row(struct mesh_row *out, const struct tr_instance *row)
 {
 	const uint16_t *n = row->own.count;
@@ -75,7 +77,7 @@
 	}
 }
 
-/* How messages name a service. */
+/* Identifies a service in messages. */
 uint32_t mesh_service_hash(const struct entry *e, unsigned service)
 {
 	return (uint32_t)tr_hash_string(e->roster.services[service].name);
--- a/entry/mesh_limits.c
+++ b/entry/mesh_limits.c
@@ -1,24 +1,24 @@
-/* What VMs tell each other of organisations' requests; see lib/limit.c. */
+/* Messages about organisations' requests; see lib/limit.c. */
 #include "limit.h"
 #include "mesh_internal.h"
 
-/* Totals of organisations that have changed since they were told last, going
- * on where the last message ended. */
-void mesh_add_uses(struct mesh *mesh, struct mesh_message *msg,
-		   struct mesh_use *uses)
+/* Adds the totals of organisations that have changed since they were last sent,
+ * continuing where the last message ended. */
+void mesh_add_usage(struct mesh *mesh, struct mesh_message *msg,
+		    struct mesh_usage *usage)
 {
 	struct tr_limits *limits = &mesh->e->limits;
 
-	msg->uses.uses_val = uses;
+	msg->usage.usage_val = usage;
 	for (unsigned i = 0;
-	     i < limits->count && msg->uses.uses_len < MESH_MAX_USES; i++) {
+	     i < limits->count && msg->usage.usage_len < MESH_MAX_USAGE; i++) {
 		struct tr_limit *l =
 			&limits->rows[limits->next_reported++ % limits->count];
 
 		if (!l->changed)
 			continue;
 		l->changed = false;
-		uses[msg->uses.uses_len++] = (struct mesh_use){
+		usage[msg->usage.usage_len++] = (struct mesh_usage){
 			.organisation = l->name,
 			.totals = (uint32_t)l->own.arrived << 16 |
 				  l->own.admitted,
@@ -26,18 +26,19 @@
 	}
 }
 
-/* Requests a second of this group, as many as there is room for. */
+/* Adds this group's request rates, as many as fit into room bytes, continuing
+ * where the last message ended. */
 void mesh_add_demands(struct mesh *mesh, struct mesh_message *msg,
 		      struct mesh_demand *demands, size_t room, apr_time_t now)
 {
 	struct tr_limits *limits = &mesh->e->limits;
-	unsigned most = (unsigned)(room / sizeof(*demands));
+	unsigned max = (unsigned)(room / sizeof(*demands));
 
-	if (most > MESH_MAX_DEMANDS)
-		most = MESH_MAX_DEMANDS;
+	if (max > MESH_MAX_DEMANDS)
+		max = MESH_MAX_DEMANDS;
 	msg->demands.demands_val = demands;
 	for (unsigned i = 0;
-	     i < limits->count && msg->demands.demands_len < most; i++) {
+	     i < limits->count && msg->demands.demands_len < max; i++) {
 		const struct tr_limit *l =
 			&limits->rows[limits->next_demand++ % limits->count];
 
@@ -50,8 +51,8 @@
 	}
 }
 
-static void take_use(struct mesh *mesh, struct tr_node *node,
-		     const struct mesh_use *in, apr_time_t now)
+static void apply_usage(struct mesh *mesh, struct tr_node *node,
+			const struct mesh_usage *in, apr_time_t now)
 {
 	struct tr_limit *l = tr_limits_find(&mesh->e->limits, in->organisation);
 	const struct tr_limit_totals totals = {
@@ -63,7 +64,7 @@
 	if (!l)
 		return;
 	reported = tr_node_limit_report(node, in->organisation);
-	/* What it counted before this VM listened is old. */
+	/* Totals from before this VM first heard the sender are not new. */
 	if (reported->name || tr_node_heard_from_start(node, now))
 		tr_limit_reported(l, &mesh->e->limit_bound, &reported->totals,
 				  &totals, now);
@@ -71,8 +72,8 @@
 	reported->totals = totals;
 }
 
-static void take_demand(struct mesh *mesh, const struct tr_node *node,
-			const struct mesh_demand *in, apr_time_t now)
+static void apply_demand(struct mesh *mesh, const struct tr_node *node,
+			 const struct mesh_demand *in, apr_time_t now)
 {
 	struct tr_limit *l = tr_limits_find(&mesh->e->limits, in->organisation);
 
@@ -80,12 +81,13 @@
 		tr_limit_group_reported(l, node->group, in->rate / 100.0, now);
 }
 
-/* Take in what another VM, or another group, says of organisations. */
+/* Handles organisations' requests: totals from VMs of this group, rates from
+ * other groups. */
 void mesh_handle_limits(struct mesh *mesh, struct tr_node *node,
 			const struct mesh_message *msg, apr_time_t now)
 {
-	for (u_int i = 0; node->near && i < msg->uses.uses_len; i++)
-		take_use(mesh, node, &msg->uses.uses_val[i], now);
+	for (u_int i = 0; node->near && i < msg->usage.usage_len; i++)
+		apply_usage(mesh, node, &msg->usage.usage_val[i], now);
 	for (u_int i = 0; !node->near && i < msg->demands.demands_len; i++)
-		take_demand(mesh, node, &msg->demands.demands_val[i], now);
+		apply_demand(mesh, node, &msg->demands.demands_val[i], now);
 }
--- a/entry/mesh_notices.c
+++ b/entry/mesh_notices.c
@@ -1,15 +1,16 @@
-/* What VMs tell each other of what targets say of themselves; see
- * lib/send_limit.c. */
+/* Messages about what targets announce about themselves; see lib/send_limit.c.
+ */
 #include "eventlog.h"
 #include "mesh_internal.h"
 #include "notices.h"
 
-/* Limits told again in each message, in case an earlier one was lost. */
-#define LIMITS_AGAIN 2
-/* An end is told again for so long, and a limit while it holds. */
-#define END_TOLD_FOR TR_SEC(5)
-#define RATE_UNIT    1000.0
-#define RATE_MOST    (MESH_NO_LIMIT - 1)
+/* Limits sent again in each message, in case an earlier one was lost. */
+#define LIMITS_RESENT 2
+/* How long the end of a limit is sent again; a limit is sent as long as it
+ * holds. */
+#define LIMIT_END_REPORT_TIME TR_SEC(5)
+#define RATE_UNIT	      1000.0
+#define RATE_MAX	      (MESH_NO_LIMIT - 1)
 
 static void add_limit(struct mesh_message *msg, const struct tr_send_limit *l,
 		      apr_time_t now)
@@ -19,44 +20,45 @@
 
 	msg->limits.limits_val[msg->limits.limits_len++] = (struct mesh_limit){
 		.target = l->target,
-		.rate = !l->holds	   ? MESH_NO_LIMIT
-			: rate < RATE_MOST ? (uint32_t)rate
-					   : RATE_MOST,
+		.rate = !l->holds	  ? MESH_NO_LIMIT
+			: rate < RATE_MAX ? (uint32_t)rate
+					  : RATE_MAX,
 		.age_ms = age < UINT32_MAX ? (uint32_t)age : UINT32_MAX,
 		.sent = l->sent,
 	};
 }
 
-static unsigned rows_in(size_t room)
+static unsigned rows_that_fit(size_t room)
 {
-	size_t most = room / sizeof(struct mesh_limit);
+	size_t max = room / sizeof(struct mesh_limit);
 
-	return most < MESH_MAX_LIMITS ? (unsigned)most : MESH_MAX_LIMITS;
+	return max < MESH_MAX_LIMITS ? (unsigned)max : MESH_MAX_LIMITS;
 }
 
-static bool is_reported_again(const struct tr_send_limit *l, apr_time_t now)
+static bool is_resent(const struct tr_send_limit *l, apr_time_t now)
 {
-	return l->used && (l->holds || now - l->named_at < END_TOLD_FOR);
+	return l->used &&
+	       (l->holds || now - l->named_at < LIMIT_END_REPORT_TIME);
 }
 
-/* A few limits that were told before, if there is room for them in bytes.
- * Returns the bytes that all limits of the message take. */
+/* Adds a few limits that were sent before, if they fit into room bytes. Returns
+ * the size of all limits in the message. */
 static size_t add_limits_again(struct mesh *mesh, struct mesh_message *msg,
 			       struct mesh_limit *limits, size_t room,
 			       apr_time_t now)
 {
 	struct tr_send_limits *all = &mesh->e->roster.limits;
-	unsigned most = rows_in(room);
+	unsigned max = rows_that_fit(room);
 	unsigned again = 0;
 
 	msg->limits.limits_val = limits;
-	for (unsigned i = 0; i < all->count && again < LIMITS_AGAIN &&
-			     msg->limits.limits_len < most;
+	for (unsigned i = 0; i < all->count && again < LIMITS_RESENT &&
+			     msg->limits.limits_len < max;
 	     i++) {
 		const struct tr_send_limit *l =
 			&all->rows[all->next_reported++ % all->count];
 
-		if (!is_reported_again(l, now))
+		if (!is_resent(l, now))
 			continue;
 		add_limit(msg, l, now);
 		again++;
@@ -64,16 +66,16 @@
 	return msg->limits.limits_len * sizeof(*limits);
 }
 
-/* Limits that have changed, as many as there is room for in bytes, and a few
- * that were told before. Returns the bytes that they take. */
+/* Adds changed limits, as many as fit into room bytes, and a few that were sent
+ * before. Returns their size. */
 static size_t add_limits(struct mesh *mesh, struct mesh_message *msg,
 			 struct mesh_limit *limits, size_t room, apr_time_t now)
 {
 	struct tr_send_limits *all = &mesh->e->roster.limits;
-	unsigned most = rows_in(room);
+	unsigned max = rows_that_fit(room);
 
 	msg->limits.limits_val = limits;
-	for (unsigned i = 0; i < all->count && msg->limits.limits_len < most;
+	for (unsigned i = 0; i < all->count && msg->limits.limits_len < max;
 	     i++) {
 		struct tr_send_limit *l = &all->rows[i];
 
@@ -85,8 +87,8 @@
 	return add_limits_again(mesh, msg, limits, room, now);
 }
 
-static void take_limit(struct mesh *mesh, struct tr_node *node,
-		       const struct mesh_limit *in, apr_time_t now)
+static void apply_limit(struct mesh *mesh, struct tr_node *node,
+			const struct mesh_limit *in, apr_time_t now)
 {
 	struct entry *e = mesh->e;
 	struct tr_roster *roster = &e->roster;
@@ -120,22 +122,23 @@
 	reported->sent = (uint16_t)in->sent;
 }
 
-/* A few targets that have said that they leave. It is told for as long as the
- * platform lists them: what one message loses comes with the next. */
+/* Adds a few targets that have announced that they are leaving. They are sent
+ * for as long as the platform lists them, so that the next message makes up for
+ * a lost one. Returns their size. */
 static size_t add_leaving(struct mesh *mesh, struct mesh_message *msg,
 			  uint32_t *leaving, size_t room)
 {
 	const struct tr_roster *roster = &mesh->e->roster;
-	unsigned most = (unsigned)(room / sizeof(*leaving));
+	unsigned max = (unsigned)(room / sizeof(*leaving));
 
-	if (most > MESH_MAX_LEAVING)
-		most = MESH_MAX_LEAVING;
+	if (max > MESH_MAX_LEAVING)
+		max = MESH_MAX_LEAVING;
 	msg->leaving.leaving_val = leaving;
 	for (unsigned i = 0; roster->says_leaving_count && i < roster->count &&
-			     msg->leaving.leaving_len < most;
+			     msg->leaving.leaving_len < max;
 	     i++) {
 		const struct tr_instance *row =
-			&roster->rows[mesh->leaving_again++ % roster->count];
+			&roster->rows[mesh->next_leaving++ % roster->count];
 
 		if (row->used && row->says_leaving && !row->gone)
 			leaving[msg->leaving.leaving_len++] = row->hash;
@@ -143,29 +146,31 @@
 	return msg->leaving.leaving_len * sizeof(*leaving);
 }
 
-/* What was told before, in case it was lost, and for a VM that has just
- * started. Returns the bytes that it takes. */
-size_t mesh_add_notices_again(struct mesh *mesh, struct mesh_message *msg,
-			      struct mesh_notices *lists, size_t room,
-			      apr_time_t now)
+/* Adds announcements that were sent before, in case they were lost and for a VM
+ * that has just started. Returns their size. */
+size_t mesh_add_repeated_notices(struct mesh *mesh, struct mesh_message *msg,
+				 struct mesh_notices *storage, size_t room,
+				 apr_time_t now)
 {
-	size_t used = add_leaving(mesh, msg, lists->leaving, room);
+	size_t used = add_leaving(mesh, msg, storage->leaving, room);
 
 	return used +
-	       add_limits_again(mesh, msg, lists->limits, room - used, now);
+	       add_limits_again(mesh, msg, storage->limits, room - used, now);
 }
 
-/* What targets said of themselves: limits that have changed, and some of what
- * was told before. Returns the bytes that it takes. */
+/* Adds changed limits, and some announcements that were sent before. Returns
+ * their size. */
 size_t mesh_add_notices(struct mesh *mesh, struct mesh_message *msg,
-			struct mesh_notices *lists, size_t room, apr_time_t now)
+			struct mesh_notices *storage, size_t room,
+			apr_time_t now)
 {
-	size_t used = add_leaving(mesh, msg, lists->leaving, room);
+	size_t used = add_leaving(mesh, msg, storage->leaving, room);
 
-	return used + add_limits(mesh, msg, lists->limits, room - used, now);
+	return used + add_limits(mesh, msg, storage->limits, room - used, now);
 }
 
-/* Take in what another VM, of this group or another, tells. */
+/* Handles announcements of targets that another VM, of this group or another,
+ * passes on. */
 void mesh_handle_notices(struct mesh *mesh, struct tr_node *node,
 			 const struct mesh_message *msg, apr_time_t now)
 {
@@ -177,43 +182,43 @@
 			notices_mark_leaving(mesh->e, row, "peer");
 	}
 	for (u_int i = 0; i < msg->limits.limits_len; i++)
-		take_limit(mesh, node, &msg->limits.limits_val[i], now);
+		apply_limit(mesh, node, &msg->limits.limits_val[i], now);
 }
 
-static void to_groups(struct mesh *mesh, struct mesh_message *msg,
-		      apr_time_t now)
+static void send_to_groups(struct mesh *mesh, struct mesh_message *msg,
+			   apr_time_t now)
 {
-	char buf[DATAGRAM_MOST];
-	size_t len = mesh_encode(msg, MESH_HAND_ON, buf, sizeof(buf));
+	char buf[DATAGRAM_MAX];
+	size_t len = mesh_encode(msg, MESH_FORWARD, buf, sizeof(buf));
 
 	if (len)
-		mesh_to_other_groups(mesh, buf, len, now);
+		mesh_send_to_other_groups(mesh, buf, len, now);
 }
 
-/* Tell all, and the other groups, whose VMs may send there as well, what this
- * VM has just heard of a target's limit. */
+/* Broadcasts a limit that this VM has just heard of, also to the other groups,
+ * whose VMs may send requests to the target as well. */
 void mesh_broadcast_limit(struct mesh *mesh, uint32_t place)
 {
 	apr_time_t now = entry_now(mesh->e);
 	struct mesh_limit limit;
 	struct mesh_message msg;
 
-	mesh_fill_head(mesh, &msg);
+	mesh_fill_header(mesh, &msg);
 	msg.limits.limits_val = &limit;
 	add_limit(&msg, &mesh->e->roster.limits.rows[place], now);
-	mesh_tell_near(mesh, &msg, now);
-	to_groups(mesh, &msg, now);
+	mesh_broadcast_near(mesh, &msg, now);
+	send_to_groups(mesh, &msg, now);
 }
 
-/* The same where a target has said that it leaves. */
+/* Broadcasts that a target has announced that it is leaving. */
 void mesh_broadcast_leaving(struct mesh *mesh, uint32_t target)
 {
 	apr_time_t now = entry_now(mesh->e);
 	struct mesh_message msg;
 
-	mesh_fill_head(mesh, &msg);
+	mesh_fill_header(mesh, &msg);
 	msg.leaving.leaving_val = &target;
 	msg.leaving.leaving_len = 1;
-	mesh_tell_near(mesh, &msg, now);
-	to_groups(mesh, &msg, now);
+	mesh_broadcast_near(mesh, &msg, now);
+	send_to_groups(mesh, &msg, now);
 }
--- a/entry/mesh_proof.c
+++ b/entry/mesh_proof.c
@@ -1,11 +1,10 @@
-/* Questions for the proof that a configuration is the newest; see lib/proof.c.
- */
+/* Requests for a proof that the configuration is current; see lib/proof.c. */
 #include "entry_settings.h"
 #include "mesh_internal.h"
 #include "proof.h"
 
-/* Ask another VM for a younger proof, where this one's has grown old. */
-void mesh_ask_proof(struct mesh *mesh, apr_time_t now)
+/* Asks another VM for a more recent proof once this VM's has aged. */
+void mesh_request_proof(struct mesh *mesh, apr_time_t now)
 {
 	struct entry *e = mesh->e;
 	const struct tr_node *node;
@@ -18,23 +17,24 @@
 			      &e->random, now);
 	if (!node)
 		return;
-	mesh_fill_head(mesh, &msg);
+	mesh_fill_header(mesh, &msg);
 	msg.question = e->proof.question;
-	mesh_send_message(mesh, node->ip, &msg, MESH_TELL);
+	mesh_send_message(mesh, node->ip, &msg, MESH_REPORT);
 }
 
-static void answer(struct mesh *mesh, uint64_t question, uint32_t ip)
+static void send_answer(struct mesh *mesh, uint64_t question, uint32_t ip)
 {
 	struct mesh_message msg;
 
-	mesh_fill_head(mesh, &msg);
+	mesh_fill_header(mesh, &msg);
 	msg.answers = question;
-	mesh_send_message(mesh, ip, &msg, MESH_TELL);
+	mesh_send_message(mesh, ip, &msg, MESH_REPORT);
 }
 
 /*
- * Answer the VM's question, or take its answer. What it holds was the newest
- * when its proof says; so what this VM holds was too, if it is not older.
+ * Replies to a question, or uses a reply. The sender's configuration was
+ * current at the time of its proof; so this VM's configuration was too, unless
+ * it is older.
  */
 void mesh_handle_proof(struct mesh *mesh, struct tr_node *node,
 		       const struct mesh_message *msg, apr_time_t now)
@@ -43,7 +43,7 @@
 
 	(void)now;
 	if (msg->question)
-		answer(mesh, msg->question, node->ip);
+		send_answer(mesh, msg->question, node->ip);
 	if (!msg->answers || msg->proof_age_ms == UINT32_MAX || !e->routes ||
 	    msg->config_revision > e->routes->revision)
 		return;
--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -1,23 +1,25 @@
-/* What VMs tell each other of their work: outcomes at targets, and requests for
- * services. */
+/* Messages about requests: outcomes and requests in flight at targets, and
+ * totals per service. */
 #include <stdlib.h>
 
 #include "mesh_internal.h"
 
-/* Unchanged rows repeated in each message, in case an earlier one was lost. */
-#define ROWS_AGAIN 2
-/* Of them, those where a VM's last request has ended since: until that is heard
- * others count it as in flight. */
-#define ENDS_AGAIN  12
-#define BYTES_A_ROW 24
-/* VMs that are looked at ten times a second for whether they are lost: a
- * thousand in two seconds. */
-#define FORGOTTEN_A_STEP 50
-/* Outcomes of a VM of another group at one target that can be its first: it
- * sends here only while its own group is full, seldom twice to one target. */
-#define FIRST_TOTALS 3
-
-static unsigned sum_of(const struct tr_symptom_totals *totals)
+/* Unchanged rows sent again in each message, in case an earlier one was lost.
+ */
+#define ROWS_RESENT 2
+/* Rows sent again because a VM's last request at the target has finished: until
+ * they know, other VMs count it as in flight. */
+#define FINISHED_RESENT 12
+#define ROW_BYTES	24
+/* VMs checked for being lost in each step, ten times a second: a thousand in
+ * two seconds. */
+#define NODES_CHECKED_PER_STEP 50
+/* A VM of another group with at most this many outcomes at a target counts as
+ * reporting it for the first time: it sends requests here only while its own
+ * group is full, rarely twice to one target. */
+#define FIRST_TOTALS_MAX 3
+
+static unsigned total_count(const struct tr_symptom_totals *totals)
 {
 	unsigned sum = 0;
 
@@ -26,12 +28,13 @@
 	return sum;
 }
 
-/* Ends that were told in the message before this one. */
-static void add_ends(struct tr_roster *roster, struct mesh_message *msg,
-		     struct mesh_row *rows)
+/* Adds the rows whose last request was reported as finished in the previous
+ * message. */
+static void add_finished_again(struct tr_roster *roster,
+			       struct mesh_message *msg, struct mesh_row *rows)
 {
 	for (unsigned i = 0;
-	     i < roster->count && msg->rows.rows_len < ENDS_AGAIN; i++) {
+	     i < roster->count && msg->rows.rows_len < FINISHED_RESENT; i++) {
 		struct tr_instance *row = &roster->rows[i];
 
 		if (!row->used || !row->report_again)
@@ -42,10 +45,10 @@
 	}
 }
 
-static void add_changed(struct tr_roster *roster, struct mesh_message *msg,
-			struct mesh_row *rows, unsigned most)
+static void add_changed_rows(struct tr_roster *roster, struct mesh_message *msg,
+			     struct mesh_row *rows, unsigned max)
 {
-	for (unsigned i = 0; i < roster->count && msg->rows.rows_len < most;
+	for (unsigned i = 0; i < roster->count && msg->rows.rows_len < max;
 	     i++) {
 		struct tr_instance *row = &roster->rows[i];
 
@@ -57,33 +60,33 @@
 	}
 }
 
-/* Targets at which something has changed, as many as there is room for in
- * bytes, and some that were told before. */
+/* Adds the targets with changes, as many as fit into room bytes, and some that
+ * were sent before. */
 void mesh_add_rows(struct mesh *mesh, struct mesh_message *msg,
 		   struct mesh_row *rows, size_t room)
 {
 	struct tr_roster *roster = &mesh->e->roster;
-	unsigned most = (unsigned)(room / BYTES_A_ROW);
+	unsigned max = (unsigned)(room / ROW_BYTES);
 
-	if (most > MESH_MAX_ROWS)
-		most = MESH_MAX_ROWS;
+	if (max > MESH_MAX_ROWS)
+		max = MESH_MAX_ROWS;
 	msg->rows.rows_val = rows;
-	if (most > ENDS_AGAIN)
-		add_ends(roster, msg, rows);
-	add_changed(roster, msg, rows, most);
+	if (max > FINISHED_RESENT)
+		add_finished_again(roster, msg, rows);
+	add_changed_rows(roster, msg, rows, max);
 	for (unsigned n = 0;
-	     n < ROWS_AGAIN && n < roster->count && msg->rows.rows_len < most;
+	     n < ROWS_RESENT && n < roster->count && msg->rows.rows_len < max;
 	     n++) {
 		const struct tr_instance *row =
-			&roster->rows[mesh->row_again++ % roster->count];
+			&roster->rows[mesh->next_row++ % roster->count];
 
-		if (row->used && sum_of(&row->own))
+		if (row->used && total_count(&row->own))
 			mesh_fill_row(&rows[msg->rows.rows_len++], row);
 	}
 }
 
-/* How many requests came for each service, and were sent once more; going on
- * where the last message ended. */
+/* Adds the requests and retries of each service, continuing where the last
+ * message ended. */
 void mesh_add_work(struct mesh *mesh, struct mesh_message *msg,
 		   struct mesh_work *work)
 {
@@ -93,7 +96,7 @@
 	for (unsigned n = 0;
 	     n < e->allowances_count && msg->work.work_len < MESH_MAX_WORK;
 	     n++) {
-		unsigned i = mesh->work_next++ % e->allowances_count;
+		unsigned i = mesh->next_work++ % e->allowances_count;
 		const struct tr_work_totals *own = &e->allowances[i].own;
 
 		if (!own->requests && !own->repeats)
@@ -105,8 +108,8 @@
 	}
 }
 
-/* The VM is lost, and with it what it has in flight. What it counted is kept:
- * it may go on counting, and be heard again. */
+/* Drops the requests in flight of a VM that is lost. Its totals are kept, since
+ * it may go on counting and be heard again. */
 void mesh_forget_reports(struct mesh *mesh, struct tr_node *node)
 {
 	for (unsigned i = 0; i < node->reported_count; i++) {
@@ -121,7 +124,7 @@
 	node->reports_work = false;
 }
 
-static struct tr_allowance *allowance_of(struct entry *e, uint32_t service)
+static struct tr_allowance *find_allowance(struct entry *e, uint32_t service)
 {
 	for (unsigned i = 0; i < e->roster.services_count; i++)
 		if (mesh_service_hash(e, i) == service)
@@ -129,13 +132,14 @@
 	return NULL;
 }
 
-/* What the VM's last process may have sent and not told counts as sent. */
-static void keep_untold(struct entry *e, const struct tr_node *node,
-			apr_time_t now)
+/* Charges the retries that the VM's last process may have sent without
+ * reporting them. */
+static void charge_unreported(struct entry *e, const struct tr_node *node,
+			      apr_time_t now)
 {
 	for (unsigned i = 0; i < node->work_count; i++) {
 		const struct tr_work_report *work = &node->work[i];
-		struct tr_allowance *a = allowance_of(e, work->service);
+		struct tr_allowance *a = find_allowance(e, work->service);
 
 		if (a)
 			tr_allowance_vm_restarted(a, &e->repeat_bound,
@@ -143,12 +147,12 @@
 	}
 }
 
-/* The VM has restarted, and counts anew. */
+/* Forgets everything about a VM that has restarted and counts from zero. */
 void mesh_forget_node(struct mesh *mesh, struct tr_node *node, apr_time_t now)
 {
 	mesh_forget_reports(mesh, node);
 	if (node->near)
-		keep_untold(mesh->e, node, now);
+		charge_unreported(mesh->e, node, now);
 	free(node->reported);
 	node->reported = NULL;
 	node->reported_count = 0;
@@ -165,13 +169,14 @@
 	node->sent_count = 0;
 }
 
-/* Forget what VMs have in flight that are lost since; a few at each step. */
+/* Drops the requests in flight of VMs that were lost; checks a few VMs in each
+ * step. */
 void mesh_forget_lost(struct mesh *mesh, apr_time_t now)
 {
 	struct tr_membership *m = &mesh->e->members;
 
-	for (int i = 0; i < FORGOTTEN_A_STEP; i++) {
-		struct tr_node *node = &m->nodes[mesh->node_next++ % m->count];
+	for (int i = 0; i < NODES_CHECKED_PER_STEP; i++) {
+		struct tr_node *node = &m->nodes[mesh->next_node++ % m->count];
 
 		if (node->reports_work && !tr_node_alive(m, node, now))
 			mesh_forget_reports(mesh, node);
@@ -179,24 +184,25 @@
 }
 
 /*
- * Is what the VM tells of a target for the first time news? What it counted
- * before this VM listened is old. A VM of another group tells only of what it
- * sent here, so a few outcomes are the first.
+ * Whether a VM's first totals for a target count as new; what it counted before
+ * this VM first heard it does not. A VM of another group reports only requests
+ * that it sent here, so a few outcomes are its first.
  */
-static bool is_news(const struct tr_node *node,
-		    const struct tr_symptom_totals *totals, apr_time_t now)
+static bool counts_as_new(const struct tr_node *node,
+			  const struct tr_symptom_totals *totals,
+			  apr_time_t now)
 {
 	if (node->near)
 		return tr_node_heard_from_start(node, now);
-	return sum_of(totals) <= FIRST_TOTALS;
+	return total_count(totals) <= FIRST_TOTALS_MAX;
 }
 
-/* Did a request end of which the VM tells no outcome? It was overdue, and told
- * as such when it came to that. LATE is also said of an attempt that ended
- * because it could not connect. */
-static bool hang_ended(const struct tr_report *reported,
-		       const struct mesh_row *in,
-		       const struct tr_symptom_totals *totals)
+/* Whether a request finished without a reported outcome. Such a request was
+ * overdue and was reported as such at that time. LATE is also reported for an
+ * attempt that ended because it could not connect. */
+static bool overdue_finished(const struct tr_report *reported,
+			     const struct mesh_row *in,
+			     const struct tr_symptom_totals *totals)
 {
 	int ended = (int)reported->in_flight - (int)in->in_flight;
 
@@ -208,11 +214,11 @@
 	return ended > 0;
 }
 
-/* Did the VM send a request there since its last message, whether it still runs
- * or not? */
-static bool has_begun(const struct tr_report *reported,
-		      const struct mesh_row *in,
-		      const struct tr_symptom_totals *totals)
+/* Whether the VM has sent the target a request since its last message, even if
+ * it has finished since. */
+static bool request_started(const struct tr_report *reported,
+			    const struct mesh_row *in,
+			    const struct tr_symptom_totals *totals)
 {
 	int begun = (int)in->in_flight - (int)reported->in_flight;
 
@@ -223,8 +229,8 @@
 	return begun > 0;
 }
 
-static void take_row(struct mesh *mesh, struct tr_node *node,
-		     const struct mesh_row *in, apr_time_t now)
+static void apply_row(struct mesh *mesh, struct tr_node *node,
+		      const struct mesh_row *in, apr_time_t now)
 {
 	struct tr_roster *roster = &mesh->e->roster;
 	struct tr_instance *row = tr_roster_by_hash(roster, in->target);
@@ -238,13 +244,13 @@
 	reported = tr_node_report(node, in->target);
 	if (reported->target != row->hash) {
 		reported->target = row->hash;
-		old = !is_news(node, &totals, now);
+		old = !counts_as_new(node, &totals, now);
 	}
-	if (!old && hang_ended(reported, in, &totals))
+	if (!old && overdue_finished(reported, in, &totals))
 		tr_roster_end_hang(row, now);
 	row->others_in_flight += in->in_flight - reported->in_flight;
 	if (old ? in->in_flight > reported->in_flight
-		: has_begun(reported, in, &totals))
+		: request_started(reported, in, &totals))
 		row->used_at = now;
 	reported->in_flight = (uint16_t)in->in_flight;
 	node->reports_work = true;
@@ -259,8 +265,8 @@
 	reported->totals = totals;
 }
 
-static struct tr_work_report *work_report_of(struct tr_node *node,
-					     uint32_t service)
+static struct tr_work_report *get_work_report(struct tr_node *node,
+					      uint32_t service)
 {
 	struct tr_work_report *work;
 
@@ -274,20 +280,20 @@
 	return work;
 }
 
-static void take_work(struct mesh *mesh, struct tr_node *node,
-		      const struct mesh_work *in, apr_time_t now)
+static void apply_work(struct mesh *mesh, struct tr_node *node,
+		       const struct mesh_work *in, apr_time_t now)
 {
 	struct entry *e = mesh->e;
 	struct tr_work_totals reported = {
 		.requests = (uint16_t)(in->totals >> 16),
 		.repeats = (uint16_t)in->totals,
 	};
-	struct tr_work_report *work = work_report_of(node, in->service);
+	struct tr_work_report *work = get_work_report(node, in->service);
 
 	bool is_first = !work->service;
-	/* What it counted before this VM listened is old. */
-	bool is_news = !is_first || tr_node_heard_from_start(node, now);
-	struct tr_allowance *a = is_news ? allowance_of(e, in->service) : NULL;
+	/* Totals from before this VM first heard the sender are not new. */
+	bool is_new = !is_first || tr_node_heard_from_start(node, now);
+	struct tr_allowance *a = is_new ? find_allowance(e, in->service) : NULL;
 
 	if (a) {
 		tr_allowance_reported(a, &e->repeat_bound, &work->totals,
@@ -301,8 +307,8 @@
 	work->at = now;
 }
 
-static double untold_by(const struct entry *e, const struct tr_node *node,
-			uint32_t service, apr_time_t now)
+static double unreported_by(const struct entry *e, const struct tr_node *node,
+			    uint32_t service, apr_time_t now)
 {
 	for (unsigned i = 0; i < node->work_count; i++)
 		if (node->work[i].service == service)
@@ -312,8 +318,8 @@
 	return 0;
 }
 
-/* How many repeats for the service VMs of the group that are silent may have
- * sent since they were heard. */
+/* Upper bound of the retries for the service that silent VMs of the group may
+ * have sent since they were last heard. */
 double mesh_unreported_repeats(const struct entry *e, uint32_t service,
 			       apr_time_t now)
 {
@@ -325,17 +331,17 @@
 		const struct tr_node *node = &m->nodes[i];
 
 		if (node->near && !tr_node_heard_recently(m, node, now))
-			sum += untold_by(e, node, hash, now);
+			sum += unreported_by(e, node, hash, now);
 	}
 	return sum;
 }
 
-/* Take in what another VM did at targets. */
+/* Handles another VM's totals for services and targets. */
 void mesh_handle_rows(struct mesh *mesh, struct tr_node *node,
 		      const struct mesh_message *msg, apr_time_t now)
 {
 	for (u_int i = 0; i < msg->work.work_len; i++)
-		take_work(mesh, node, &msg->work.work_val[i], now);
+		apply_work(mesh, node, &msg->work.work_val[i], now);
 	for (u_int i = 0; i < msg->rows.rows_len; i++)
-		take_row(mesh, node, &msg->rows.rows_val[i], now);
+		apply_row(mesh, node, &msg->rows.rows_val[i], now);
 }
--- a/entry/mesh_send.c
+++ b/entry/mesh_send.c
@@ -1,4 +1,5 @@
-/* How messages go out: to one VM, to this group, to one of each other group. */
+/* Sending of messages: to one VM, to this group, and to one VM of each other
+ * group. */
 #include <arpa/inet.h>
 #include <rpc/rpc.h>
 #include <string.h>
@@ -8,12 +9,12 @@
 #include "mechanism.h"
 #include "mesh_internal.h"
 
-#define CENTRES_MOST 64
-/* Where the procedure's number stands in an encoded call (RFC 5531). */
-#define PROCEDURE_AT 20
+#define DATA_CENTRES_MAX 64
+/* Offset of the procedure number in an encoded call (RFC 5531). */
+#define PROCEDURE_OFFSET 20
 
-/* In ms, rounded up, since a proof must never look younger than it is;
- * UINT32_MAX is none. */
+/* Age of the proof in ms, or UINT32_MAX without one. Rounded up, since a proof
+ * must never look more recent than it is. */
 uint32_t mesh_proof_age(const struct entry *e)
 {
 	apr_time_t age = tr_proof_age(&e->proof, entry_now(e));
@@ -28,11 +29,11 @@
 	return (e->ready && entry_vouches(e) ? MESH_READY : 0) |
 	       (e->leaving ? MESH_LEAVING : 0) |
 	       (e->members.nodes[0].cannot_read ? MESH_CANNOT_READ : 0) |
-	       (mesh->lists ? MESH_LISTS : 0);
+	       (mesh->list_update ? MESH_LIST_UPDATE : 0);
 }
 
-/* What every message says of its sender. */
-void mesh_fill_head(struct mesh *mesh, struct mesh_message *msg)
+/* Fills in the fields that describe the sender. */
+void mesh_fill_header(struct mesh *mesh, struct mesh_message *msg)
 {
 	struct entry *e = mesh->e;
 
@@ -51,7 +52,7 @@
 	msg->proof_age_ms = mesh_proof_age(e);
 }
 
-/* A datagram that can't be sent is one that is lost. */
+/* A datagram that can't be sent is treated as lost. */
 void mesh_send(struct mesh *mesh, uint32_t ip, const char *buf, size_t len)
 {
 	struct sockaddr_in to = {
@@ -68,16 +69,17 @@
 void mesh_send_message(struct mesh *mesh, uint32_t ip, struct mesh_message *msg,
 		       rpcproc_t procedure)
 {
-	char buf[DATAGRAM_MOST];
+	char buf[DATAGRAM_MAX];
 	size_t len = mesh_encode(msg, procedure, buf, sizeof(buf));
 
 	if (len)
 		mesh_send(mesh, ip, buf, len);
 }
 
-/* To all other VMs of this group that are in this data centre, or in others. */
-static void tell_where(struct mesh *mesh, bool here, const char *buf,
-		       size_t len, apr_time_t now)
+/* Sends to all other VMs of this group that are in this data centre, or to
+ * those in other data centres. */
+static void send_in_data_centre(struct mesh *mesh, bool here, const char *buf,
+				size_t len, apr_time_t now)
 {
 	const struct tr_membership *m = &mesh->e->members;
 
@@ -91,17 +93,17 @@
 }
 
 /*
- * To one VM of each other data centre of this group, which hands it on there:
- * bytes between data centres are dear, and fall by the number of VMs in one.
- * Which VM is drawn anew each time, so that one that is dead or frozen costs a
- * message of many, and totals make up for it.
+ * Sends to one VM of each other data centre of this group, which forwards the
+ * message there: traffic between data centres is expensive, and this divides it
+ * by the number of VMs in a data centre. The VM is random for each message, so
+ * that a dead or frozen one loses few messages, for which later totals make up.
  */
-static void tell_other_centres(struct mesh *mesh, const char *buf, size_t len,
-			       apr_time_t now)
+static void send_to_other_data_centres(struct mesh *mesh, const char *buf,
+				       size_t len, apr_time_t now)
 {
 	const struct tr_membership *m = &mesh->e->members;
-	const struct tr_node *drawn[CENTRES_MOST];
-	unsigned seen[CENTRES_MOST];
+	const struct tr_node *drawn[DATA_CENTRES_MAX];
+	unsigned seen[DATA_CENTRES_MAX];
 	unsigned n = 0;
 
 	for (unsigned i = 1; i < m->count; i++) {
@@ -113,7 +115,7 @@
 		while (c < n &&
 		       strcmp(drawn[c]->data_centre, node->data_centre) != 0)
 			c++;
-		if (c == CENTRES_MOST)
+		if (c == DATA_CENTRES_MAX)
 			continue;
 		if (c == n) {
 			drawn[n] = node;
@@ -126,37 +128,41 @@
 		mesh_send(mesh, drawn[c]->ip, buf, len);
 }
 
-/* To all VMs of this group; a list's changes to the other groups too. */
-void mesh_tell_near(struct mesh *mesh, struct mesh_message *msg, apr_time_t now)
+/* Sends to all VMs of this group, and changes of the target list to the other
+ * groups too. */
+void mesh_broadcast_near(struct mesh *mesh, struct mesh_message *msg,
+			 apr_time_t now)
 {
-	char buf[DATAGRAM_MOST];
-	size_t len = mesh_encode(msg, MESH_TELL, buf, sizeof(buf));
+	char buf[DATAGRAM_MAX];
+	size_t len = mesh_encode(msg, MESH_REPORT, buf, sizeof(buf));
 
 	if (!len)
 		return;
-	tell_where(mesh, true, buf, len, now);
+	send_in_data_centre(mesh, true, buf, len, now);
 	if (!tr_mechanism_enabled(TR_MECH_CENTRE_RELAY)) {
-		tell_where(mesh, false, buf, len, now);
+		send_in_data_centre(mesh, false, buf, len, now);
 		return;
 	}
-	len = mesh_encode(msg, MESH_HAND_ON, buf, sizeof(buf));
-	tell_other_centres(mesh, buf, len, now);
-	if (msg->flags & MESH_LISTS)
-		mesh_to_other_groups(mesh, buf, len, now);
+	len = mesh_encode(msg, MESH_FORWARD, buf, sizeof(buf));
+	send_to_other_data_centres(mesh, buf, len, now);
+	if (msg->flags & MESH_LIST_UPDATE)
+		mesh_send_to_other_groups(mesh, buf, len, now);
 }
 
-/* A message to be handed on, as it came but for the procedure. */
-void mesh_hand_on(struct mesh *mesh, char *buf, size_t len)
+/* Forwards a message within this data centre, with only the procedure number
+ * changed. */
+void mesh_forward(struct mesh *mesh, char *buf, size_t len)
 {
-	uint32_t procedure = htonl(MESH_TELL);
+	uint32_t procedure = htonl(MESH_REPORT);
 
-	memcpy(buf + PROCEDURE_AT, &procedure, sizeof(procedure));
-	tell_where(mesh, true, buf, len, entry_now(mesh->e));
+	memcpy(buf + PROCEDURE_OFFSET, &procedure, sizeof(procedure));
+	send_in_data_centre(mesh, true, buf, len, entry_now(mesh->e));
 }
 
-/* One VM of the group; alive: one that is heard of. NULL if there is none. */
-const struct tr_node *mesh_draw(struct mesh *mesh, unsigned group, bool alive,
-				apr_time_t now)
+/* Returns a random VM of the group, with alive set only one that is heard, or
+ * NULL if there is none. */
+const struct tr_node *mesh_pick_node(struct mesh *mesh, unsigned group,
+				     bool alive, apr_time_t now)
 {
 	const struct tr_membership *m = &mesh->e->members;
 	const struct tr_node *found = NULL;
@@ -174,9 +180,9 @@
 	return found;
 }
 
-/* To one VM of each other group that lives. */
-void mesh_to_other_groups(struct mesh *mesh, const char *buf, size_t len,
-			  apr_time_t now)
+/* Sends to one VM of each other live group. */
+void mesh_send_to_other_groups(struct mesh *mesh, const char *buf, size_t len,
+			       apr_time_t now)
 {
 	const struct tr_membership *m = &mesh->e->members;
 
@@ -185,7 +191,7 @@
 
 		if (g == m->nodes[0].group)
 			continue;
-		node = mesh_draw(mesh, g, true, now);
+		node = mesh_pick_node(mesh, g, true, now);
 		if (node)
 			mesh_send(mesh, node->ip, buf, len);
 	}
--- a/entry/mesh_take.c
+++ b/entry/mesh_take.c
@@ -1,8 +1,8 @@
-/* What is done with another VM's message. */
+/* Handling of messages from other VMs. */
 #include "mesh_internal.h"
 
-static void take_list(struct mesh *mesh, struct tr_node *node,
-		      const struct mesh_message *msg, apr_time_t now)
+static void check_list(struct mesh *mesh, struct tr_node *node,
+		       const struct mesh_message *msg, apr_time_t now)
 {
 	const struct tr_list_report reported = {
 		.as_of = msg->as_of,
@@ -15,15 +15,16 @@
 		pull_targets(&mesh->pull, node->ip);
 }
 
-/* What the parts of a message are taken in by, in this order: with the VMs that
- * it names the sender's row may move, so what follows must not look at it. */
-static mesh_handler_fn *const takers[] = {
+/* Handlers of the parts of a message, in the order in which they are called.
+ * mesh_handle_nodes may move the sender's row, so the handlers after it must
+ * not use node. */
+static mesh_handler_fn *const handlers[] = {
 	mesh_handle_changes, mesh_handle_rows,	  mesh_handle_fatals,
 	mesh_handle_limits,  mesh_handle_notices, mesh_handle_proof,
-	take_list,	     mesh_handle_nodes,	  mesh_handle_summary,
+	check_list,	     mesh_handle_nodes,	  mesh_handle_summary,
 };
 
-/* Take in a message of the VM at the address. */
+/* Handles a message of the VM with the address. */
 void mesh_handle_message(struct mesh *mesh, const struct mesh_message *msg,
 			 uint32_t ip)
 {
@@ -52,9 +53,9 @@
 		return;
 	if (restarted) {
 		mesh_forget_node(mesh, node, now);
-		if (!(msg->flags & MESH_ANSWER))
-			mesh_call_one(mesh, ip, true);
+		if (!(msg->flags & MESH_REPLY))
+			mesh_contact_node(mesh, ip, true);
 	}
-	for (size_t i = 0; i < sizeof(takers) / sizeof(*takers); i++)
-		takers[i](mesh, node, msg, now);
+	for (size_t i = 0; i < sizeof(handlers) / sizeof(*handlers); i++)
+		handlers[i](mesh, node, msg, now);
 }
--- a/entry/mesh_xdr.c
+++ b/entry/mesh_xdr.c
@@ -168,7 +168,7 @@
 }
 
 bool_t
-xdr_mesh_mark (XDR *xdrs, mesh_mark *objp)
+xdr_mesh_departure (XDR *xdrs, mesh_departure *objp)
 {
 	register int32_t *buf;
 
@@ -182,7 +182,7 @@
 }
 
 bool_t
-xdr_mesh_centre (XDR *xdrs, mesh_centre *objp)
+xdr_mesh_data_centre (XDR *xdrs, mesh_data_centre *objp)
 {
 	register int32_t *buf;
 
@@ -219,7 +219,7 @@
 }
 
 bool_t
-xdr_mesh_use (XDR *xdrs, mesh_use *objp)
+xdr_mesh_usage (XDR *xdrs, mesh_usage *objp)
 {
 	register int32_t *buf;
 
@@ -424,13 +424,13 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->fleet_size))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->centres.centres_val, (u_int *) &objp->centres.centres_len, MESH_MAX_CENTRES,
-		sizeof (mesh_centre), (xdrproc_t) xdr_mesh_centre))
+	 if (!xdr_array (xdrs, (char **)&objp->data_centres.data_centres_val, (u_int *) &objp->data_centres.data_centres_len, MESH_MAX_DATA_CENTRES,
+		sizeof (mesh_data_centre), (xdrproc_t) xdr_mesh_data_centre))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->members.members_val, (u_int *) &objp->members.members_len, MESH_MAX_MEMBERS,
 		sizeof (u_int), (xdrproc_t) xdr_u_int))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->others.others_val, (u_int *) &objp->others.others_len, MESH_MAX_MEMBERS,
+	 if (!xdr_array (xdrs, (char **)&objp->not_ready.not_ready_val, (u_int *) &objp->not_ready.not_ready_len, MESH_MAX_MEMBERS,
 		sizeof (mesh_member), (xdrproc_t) xdr_mesh_member))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->states.states_val, (u_int *) &objp->states.states_len, MESH_MAX_STATES,
@@ -439,8 +439,8 @@
 	 if (!xdr_array (xdrs, (char **)&objp->work.work_val, (u_int *) &objp->work.work_len, MESH_MAX_WORK,
 		sizeof (mesh_work), (xdrproc_t) xdr_mesh_work))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->uses.uses_val, (u_int *) &objp->uses.uses_len, MESH_MAX_USES,
-		sizeof (mesh_use), (xdrproc_t) xdr_mesh_use))
+	 if (!xdr_array (xdrs, (char **)&objp->usage.usage_val, (u_int *) &objp->usage.usage_len, MESH_MAX_USAGE,
+		sizeof (mesh_usage), (xdrproc_t) xdr_mesh_usage))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->demands.demands_val, (u_int *) &objp->demands.demands_len, MESH_MAX_DEMANDS,
 		sizeof (mesh_demand), (xdrproc_t) xdr_mesh_demand))
@@ -451,8 +451,8 @@
 	 if (!xdr_array (xdrs, (char **)&objp->records.records_val, (u_int *) &objp->records.records_len, MESH_MAX_RECORDS,
 		sizeof (mesh_record), (xdrproc_t) xdr_mesh_record))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->marks.marks_val, (u_int *) &objp->marks.marks_len, MESH_MAX_MARKS,
-		sizeof (mesh_mark), (xdrproc_t) xdr_mesh_mark))
+	 if (!xdr_array (xdrs, (char **)&objp->departures.departures_val, (u_int *) &objp->departures.departures_len, MESH_MAX_DEPARTURES,
+		sizeof (mesh_departure), (xdrproc_t) xdr_mesh_departure))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->fatals.fatals_val, (u_int *) &objp->fatals.fatals_len, MESH_MAX_FATALS,
 		sizeof (mesh_fatal), (xdrproc_t) xdr_mesh_fatal))
--- a/entry/mesh_xdr.h
+++ b/entry/mesh_xdr.h
@@ -18,12 +18,12 @@
 #define MESH_MAX_ROWS 48
 #define MESH_MAX_WORK 16
 #define MESH_MAX_RECORDS 8
-#define MESH_MAX_MARKS 48
+#define MESH_MAX_DEPARTURES 48
 #define MESH_MAX_NODES 160
-#define MESH_MAX_CENTRES 32
+#define MESH_MAX_DATA_CENTRES 32
 #define MESH_MAX_MEMBERS 160
 #define MESH_MAX_STATES 160
-#define MESH_MAX_USES 48
+#define MESH_MAX_USAGE 48
 #define MESH_MAX_DEMANDS 64
 #define MESH_MAX_ENDS 6
 #define MESH_MAX_FATALS 8
@@ -56,21 +56,21 @@
 };
 typedef struct mesh_record mesh_record;
 
-struct mesh_mark {
+struct mesh_departure {
 	u_int target;
 	u_int flags;
 	u_quad_t revision;
 };
-typedef struct mesh_mark mesh_mark;
+typedef struct mesh_departure mesh_departure;
 
-struct mesh_centre {
+struct mesh_data_centre {
 	char *name;
 	struct {
 		u_int nodes_len;
 		u_int *nodes_val;
 	} nodes;
 };
-typedef struct mesh_centre mesh_centre;
+typedef struct mesh_data_centre mesh_data_centre;
 
 struct mesh_member {
 	u_int ip;
@@ -84,11 +84,11 @@
 };
 typedef struct mesh_state mesh_state;
 
-struct mesh_use {
+struct mesh_usage {
 	u_int organisation;
 	u_int totals;
 };
-typedef struct mesh_use mesh_use;
+typedef struct mesh_usage mesh_usage;
 
 struct mesh_demand {
 	u_int organisation;
@@ -142,17 +142,17 @@
 	u_quad_t answers;
 	u_int fleet_size;
 	struct {
-		u_int centres_len;
-		mesh_centre *centres_val;
-	} centres;
+		u_int data_centres_len;
+		mesh_data_centre *data_centres_val;
+	} data_centres;
 	struct {
 		u_int members_len;
 		u_int *members_val;
 	} members;
 	struct {
-		u_int others_len;
-		mesh_member *others_val;
-	} others;
+		u_int not_ready_len;
+		mesh_member *not_ready_val;
+	} not_ready;
 	struct {
 		u_int states_len;
 		mesh_state *states_val;
@@ -162,9 +162,9 @@
 		mesh_work *work_val;
 	} work;
 	struct {
-		u_int uses_len;
-		mesh_use *uses_val;
-	} uses;
+		u_int usage_len;
+		mesh_usage *usage_val;
+	} usage;
 	struct {
 		u_int demands_len;
 		mesh_demand *demands_val;
@@ -178,9 +178,9 @@
 		mesh_record *records_val;
 	} records;
 	struct {
-		u_int marks_len;
-		mesh_mark *marks_val;
-	} marks;
+		u_int departures_len;
+		mesh_departure *departures_val;
+	} departures;
 	struct {
 		u_int fatals_len;
 		mesh_fatal *fatals_val;
@@ -200,21 +200,21 @@
 #define MESH_VERSION 6
 
 #if defined(__STDC__) || defined(__cplusplus)
-#define MESH_TELL 1
-extern  void * mesh_tell_6(mesh_message *, CLIENT *);
-extern  void * mesh_tell_6_svc(mesh_message *, struct svc_req *);
-#define MESH_HAND_ON 2
-extern  void * mesh_hand_on_6(mesh_message *, CLIENT *);
-extern  void * mesh_hand_on_6_svc(mesh_message *, struct svc_req *);
+#define MESH_REPORT 1
+extern  void * mesh_report_6(mesh_message *, CLIENT *);
+extern  void * mesh_report_6_svc(mesh_message *, struct svc_req *);
+#define MESH_FORWARD 2
+extern  void * mesh_forward_6(mesh_message *, CLIENT *);
+extern  void * mesh_forward_6_svc(mesh_message *, struct svc_req *);
 extern int mesh_peer_6_freeresult (SVCXPRT *, xdrproc_t, caddr_t);
 
 #else /* K&R C */
-#define MESH_TELL 1
-extern  void * mesh_tell_6();
-extern  void * mesh_tell_6_svc();
-#define MESH_HAND_ON 2
-extern  void * mesh_hand_on_6();
-extern  void * mesh_hand_on_6_svc();
+#define MESH_REPORT 1
+extern  void * mesh_report_6();
+extern  void * mesh_report_6_svc();
+#define MESH_FORWARD 2
+extern  void * mesh_forward_6();
+extern  void * mesh_forward_6_svc();
 extern int mesh_peer_6_freeresult ();
 #endif /* K&R C */
 
@@ -224,11 +224,11 @@
 extern  bool_t xdr_mesh_row (XDR *, mesh_row*);
 extern  bool_t xdr_mesh_work (XDR *, mesh_work*);
 extern  bool_t xdr_mesh_record (XDR *, mesh_record*);
-extern  bool_t xdr_mesh_mark (XDR *, mesh_mark*);
-extern  bool_t xdr_mesh_centre (XDR *, mesh_centre*);
+extern  bool_t xdr_mesh_departure (XDR *, mesh_departure*);
+extern  bool_t xdr_mesh_data_centre (XDR *, mesh_data_centre*);
 extern  bool_t xdr_mesh_member (XDR *, mesh_member*);
 extern  bool_t xdr_mesh_state (XDR *, mesh_state*);
-extern  bool_t xdr_mesh_use (XDR *, mesh_use*);
+extern  bool_t xdr_mesh_usage (XDR *, mesh_usage*);
 extern  bool_t xdr_mesh_demand (XDR *, mesh_demand*);
 extern  bool_t xdr_mesh_end (XDR *, mesh_end*);
 extern  bool_t xdr_mesh_fatal (XDR *, mesh_fatal*);
@@ -239,11 +239,11 @@
 extern bool_t xdr_mesh_row ();
 extern bool_t xdr_mesh_work ();
 extern bool_t xdr_mesh_record ();
-extern bool_t xdr_mesh_mark ();
-extern bool_t xdr_mesh_centre ();
+extern bool_t xdr_mesh_departure ();
+extern bool_t xdr_mesh_data_centre ();
 extern bool_t xdr_mesh_member ();
 extern bool_t xdr_mesh_state ();
-extern bool_t xdr_mesh_use ();
+extern bool_t xdr_mesh_usage ();
 extern bool_t xdr_mesh_demand ();
 extern bool_t xdr_mesh_end ();
 extern bool_t xdr_mesh_fatal ();
--- a/tests/mesh_test.cc
+++ b/tests/mesh_test.cc
@@ -45,7 +45,7 @@
 	struct Told {
 		unsigned datagrams = 0;
 		size_t bytes = 0;
-		std::multiset<uint32_t> marks;
+		std::multiset<uint32_t> departures;
 		std::multiset<std::string> records;
 	};
 
@@ -60,19 +60,21 @@
 			mesh_message msg{};
 			mesh_message in{};
 			char name[] = "dc-0";
-			char buf[DATAGRAM_MOST];
+			char buf[DATAGRAM_MAX];
 			rpcproc_t procedure;
 
 			msg.data_centre = name;
 			mesh_add_changes(&m, &msg, &lists, &next, now);
-			size_t len =
-				mesh_encode(&msg, MESH_TELL, buf, sizeof(buf));
+			size_t len = mesh_encode(&msg, MESH_REPORT, buf,
+						 sizeof(buf));
 			EXPECT_GT(len, 0u);
 			EXPECT_TRUE(mesh_decode(buf, len, &in, &procedure));
 			told.datagrams++;
 			told.bytes += len;
-			for (unsigned i = 0; i < in.marks.marks_len; i++)
-				told.marks.insert(in.marks.marks_val[i].target);
+			for (unsigned i = 0; i < in.departures.departures_len;
+			     i++)
+				told.departures.insert(
+					in.departures.departures_val[i].target);
 			for (unsigned i = 0; i < in.records.records_len; i++)
 				told.records.insert(
 					in.records.records_val[i].id);
@@ -87,7 +89,7 @@
  * from single VMs. Sequence: a hundred targets begin to leave at once; a reader
  * tells each VM of its group 13 datagrams of whole records every quarter of a
  * second, over a link of 20 Mbit/s; some are lost, for all tellings. Cause:
- * what the others know of a target was told again. 13 datagrams and 15 kB
+ * what the not_ready know of a target was told again. 13 datagrams and 15 kB
  * before, 3 and 2 kB after.
  */
 TEST_F(Changes, AHundredThatLeaveAreToldInFewBytes)
@@ -98,15 +100,16 @@
 
 	EXPECT_LE(told.datagrams, 3u);
 	EXPECT_LE(told.bytes, 2500u);
-	EXPECT_EQ(told.marks.size(), 100u);
-	EXPECT_EQ(
-		std::set<uint32_t>(told.marks.begin(), told.marks.end()).size(),
-		100u);
+	EXPECT_EQ(told.departures.size(), 100u);
+	EXPECT_EQ(std::set<uint32_t>(told.departures.begin(),
+				     told.departures.end())
+			  .size(),
+		  100u);
 	EXPECT_TRUE(told.records.empty());
 }
 
-/* Of a target that the others do not know all is told, whatever its state; and
- * no change is left out, however many there are. */
+/* Of a target that the not_ready do not know all is told, whatever its state;
+ * and no change is left out, however many there are. */
 TEST_F(Changes, NewTargetsAreToldWhole)
 {
 	for (unsigned i = 200; i < 260; i++)
@@ -116,7 +119,7 @@
 	Told told = tell();
 
 	EXPECT_EQ(told.records.size(), 60u);
-	EXPECT_EQ(told.marks.size(), 10u);
+	EXPECT_EQ(told.departures.size(), 10u);
 }
 
 /* What was told for a while is told no more. */
@@ -124,9 +127,9 @@
 {
 	put(1, 2, true, now);
 	now += TR_MSEC(550);
-	EXPECT_EQ(tell().marks.size(), 1u);
+	EXPECT_EQ(tell().departures.size(), 1u);
 	now += TR_MSEC(100);
-	EXPECT_EQ(tell().marks.size(), 0u);
+	EXPECT_EQ(tell().departures.size(), 0u);
 }
 
 /* Guards against a limit or a target's end that no VM hears of, since one
@@ -146,7 +149,7 @@
 		mesh_notices lists{};
 		mesh_message msg{};
 		size_t used =
-			mesh_add_notices_again(&m, &msg, &lists, 400, now);
+			mesh_add_repeated_notices(&m, &msg, &lists, 400, now);
 
 		EXPECT_LE(used, 400u);
 		for (u_int k = 0; k < msg.limits.limits_len; k++)
@@ -163,7 +166,7 @@
 {
 	mesh_notices lists{};
 	mesh_message msg{};
-	char buf[DATAGRAM_MOST];
+	char buf[DATAGRAM_MAX];
 	char centre[MESH_MAX_ID + 1] = "a-data-centre-with-a-long-name";
 
 	for (unsigned i = 0; i < 40; i++) {
@@ -175,12 +178,12 @@
 		tr_roster_mark_leaving(&e.roster, row);
 	}
 	msg.data_centre = centre;
-	EXPECT_EQ(mesh_add_notices(&m, &msg, &lists, BYTES_NOTICES, now),
-		  BYTES_NOTICES);
-	size_t len = mesh_encode(&msg, MESH_TELL, buf, sizeof(buf));
+	EXPECT_EQ(mesh_add_notices(&m, &msg, &lists, NOTICES_BYTES, now),
+		  NOTICES_BYTES);
+	size_t len = mesh_encode(&msg, MESH_REPORT, buf, sizeof(buf));
 
 	EXPECT_GT(len, 0u);
-	EXPECT_LE(len, BYTES_HEAD + BYTES_NOTICES);
+	EXPECT_LE(len, HEADER_BYTES + NOTICES_BYTES);
 }
 
 /* What two VMs tell each other of their requests; messages may be lost. */
@@ -376,11 +379,11 @@
 	void tell()
 	{
 		mesh_work work[MESH_MAX_WORK];
-		mesh_use uses[MESH_MAX_USES];
+		mesh_usage usage[MESH_MAX_USAGE];
 		mesh_message msg{};
 
 		mesh_add_work(&m, &msg, work);
-		mesh_add_uses(&m, &msg, uses);
+		mesh_add_usage(&m, &msg, usage);
 		mesh_handle_rows(&other_mesh, &node, &msg, now);
 		mesh_handle_limits(&other_mesh, &node, &msg, now);
 		now += TR_MSEC(50);
@@ -402,7 +405,7 @@
 };
 
 /* Guards against repeats beyond the bound after links heal: what a VM sent
- * while it was lost to others would never be counted by them. */
+ * while it was lost to not_ready would never be counted by them. */
 TEST_F(Shares, RepeatsThatALostVmSentCountOnceItIsHeard)
 {
 	repeat(3);
