--- a/tests/mesh_test.cc
+++ b/tests/mesh_test.cc
@@ -11,7 +11,7 @@
 namespace
 {
 
-struct Changes : testing::Test {
+struct MeshChanges : testing::Test {
 	entry e{};
 	mesh m{};
 	apr_time_t now = TR_SEC(1000);
@@ -42,21 +42,22 @@
 		tr_roster_apply(&e.roster, &r, at);
 	}
 
-	struct Told {
+	struct Output {
 		unsigned datagrams = 0;
 		size_t bytes = 0;
 		std::multiset<uint32_t> departures;
 		std::multiset<std::string> records;
 	};
 
-	/* All datagrams that a reader would send, as a peer reads them. */
-	Told tell()
+	/* Collects all datagrams that a reader would send, as a peer decodes
+	 * them. */
+	Output report()
 	{
-		Told told;
+		Output output;
 		uint32_t next = 0;
 
 		while (next < e.roster.count) {
-			mesh_changes lists{};
+			mesh_changes storage{};
 			mesh_message msg{};
 			mesh_message in{};
 			char name[] = "dc-0";
@@ -64,77 +65,77 @@
 			rpcproc_t procedure;
 
 			msg.data_centre = name;
-			mesh_add_changes(&m, &msg, &lists, &next, now);
+			mesh_add_changes(&m, &msg, &storage, &next, now);
 			size_t len = mesh_encode(&msg, MESH_REPORT, buf,
 						 sizeof(buf));
 			EXPECT_GT(len, 0u);
 			EXPECT_TRUE(mesh_decode(buf, len, &in, &procedure));
-			told.datagrams++;
-			told.bytes += len;
+			output.datagrams++;
+			output.bytes += len;
 			for (unsigned i = 0; i < in.departures.departures_len;
 			     i++)
-				told.departures.insert(
+				output.departures.insert(
 					in.departures.departures_val[i].target);
 			for (unsigned i = 0; i < in.records.records_len; i++)
-				told.records.insert(
+				output.records.insert(
 					in.records.records_val[i].id);
 			xdr_free((xdrproc_t)xdr_mesh_message, (char *)&in);
 		}
-		return told;
+		return output;
 	}
 };
 
 /*
- * Symptom: targets that have begun to leave get requests three seconds later,
- * from single VMs. Sequence: a hundred targets begin to leave at once; a reader
- * tells each VM of its group 13 datagrams of whole records every quarter of a
- * second, over a link of 20 Mbit/s; some are lost, for all tellings. Cause:
- * what the not_ready know of a target was told again. 13 datagrams and 15 kB
- * before, 3 and 2 kB after.
+ * Guards against VMs that send a target requests three seconds after it began
+ * leaving. When a hundred targets leave at once, a reader that sends whole
+ * records needs 13 datagrams of 15 kB in all for each VM of its group every
+ * quarter of a second; over a link of 20 Mbit/s some are lost, in every round.
+ * With records reduced to what other VMs don't know it takes 3 datagrams and 2
+ * kB.
  */
-TEST_F(Changes, AHundredThatLeaveAreToldInFewBytes)
+TEST_F(MeshChanges, AHundredDeparturesTakeFewBytes)
 {
 	for (unsigned i = 0; i < 100; i++)
 		put(i, 2, true, now);
-	Told told = tell();
+	Output output = report();
 
-	EXPECT_LE(told.datagrams, 3u);
-	EXPECT_LE(told.bytes, 2500u);
-	EXPECT_EQ(told.departures.size(), 100u);
-	EXPECT_EQ(std::set<uint32_t>(told.departures.begin(),
-				     told.departures.end())
+	EXPECT_LE(output.datagrams, 3u);
+	EXPECT_LE(output.bytes, 2500u);
+	EXPECT_EQ(output.departures.size(), 100u);
+	EXPECT_EQ(std::set<uint32_t>(output.departures.begin(),
+				     output.departures.end())
 			  .size(),
 		  100u);
-	EXPECT_TRUE(told.records.empty());
+	EXPECT_TRUE(output.records.empty());
 }
 
-/* Of a target that the not_ready do not know all is told, whatever its state;
- * and no change is left out, however many there are. */
-TEST_F(Changes, NewTargetsAreToldWhole)
+/* Unknown targets are sent as whole records, whatever their state, and no
+ * change is left out, however many there are. */
+TEST_F(MeshChanges, NewTargetsAreSentAsWholeRecords)
 {
 	for (unsigned i = 200; i < 260; i++)
 		put(i, 2, i % 2, now);
 	for (unsigned i = 0; i < 10; i++)
 		put(i, 2, true, now);
-	Told told = tell();
+	Output output = report();
 
-	EXPECT_EQ(told.records.size(), 60u);
-	EXPECT_EQ(told.departures.size(), 10u);
+	EXPECT_EQ(output.records.size(), 60u);
+	EXPECT_EQ(output.departures.size(), 10u);
 }
 
-/* What was told for a while is told no more. */
-TEST_F(Changes, AreToldForAWhile)
+/* Changes are sent for a limited time only. */
+TEST_F(MeshChanges, AreSentForALimitedTime)
 {
 	put(1, 2, true, now);
 	now += TR_MSEC(550);
-	EXPECT_EQ(tell().departures.size(), 1u);
+	EXPECT_EQ(report().departures.size(), 1u);
 	now += TR_MSEC(100);
-	EXPECT_EQ(tell().departures.size(), 0u);
+	EXPECT_EQ(report().departures.size(), 0u);
 }
 
-/* Guards against a limit or a target's end that no VM hears of, since one
- * message was lost. */
-TEST_F(Changes, WhatTargetsSayOfThemselvesIsToldAgain)
+/* Guards against a limit or the end of a target that no VM learns of because
+ * one message was lost. */
+TEST_F(MeshChanges, AnnouncementsOfTargetsAreSentAgain)
 {
 	std::set<uint32_t> limited, leaving;
 
@@ -146,10 +147,10 @@
 		tr_roster_mark_leaving(&e.roster, &e.roster.rows[100 + i]);
 	}
 	for (int i = 0; i < 20; i++) {
-		mesh_notices lists{};
+		mesh_notices storage{};
 		mesh_message msg{};
 		size_t used =
-			mesh_add_repeated_notices(&m, &msg, &lists, 400, now);
+			mesh_add_repeated_notices(&m, &msg, &storage, 400, now);
 
 		EXPECT_LE(used, 400u);
 		for (u_int k = 0; k < msg.limits.limits_len; k++)
@@ -161,10 +162,10 @@
 	EXPECT_EQ(leaving.size(), 40u);
 }
 
-/* Guards against messages that are never sent, because they do not fit. */
-TEST_F(Changes, AMessageWithAllThatTargetsSayFitsIntoADatagram)
+/* Guards against messages that are never sent because they do not fit. */
+TEST_F(MeshChanges, AMessageFullOfAnnouncementsFitsIntoADatagram)
 {
-	mesh_notices lists{};
+	mesh_notices storage{};
 	mesh_message msg{};
 	char buf[DATAGRAM_MAX];
 	char centre[MESH_MAX_ID + 1] = "a-data-centre-with-a-long-name";
@@ -178,7 +179,7 @@
 		tr_roster_mark_leaving(&e.roster, row);
 	}
 	msg.data_centre = centre;
-	EXPECT_EQ(mesh_add_notices(&m, &msg, &lists, NOTICES_BYTES, now),
+	EXPECT_EQ(mesh_add_notices(&m, &msg, &storage, NOTICES_BYTES, now),
 		  NOTICES_BYTES);
 	size_t len = mesh_encode(&msg, MESH_REPORT, buf, sizeof(buf));
 
@@ -186,15 +187,15 @@
 	EXPECT_LE(len, HEADER_BYTES + NOTICES_BYTES);
 }
 
-/* What two VMs tell each other of their requests; messages may be lost. */
-struct Rows : Changes {
+/* Two VMs that report their requests to each other; messages may be lost. */
+struct MeshRows : MeshChanges {
 	entry other{};
 	mesh other_mesh{};
 	tr_node node{};
 
 	void SetUp() override
 	{
-		Changes::SetUp();
+		MeshChanges::SetUp();
 		other_mesh.e = &other;
 		for (unsigned i = 0; i < e.roster.count; i++) {
 			tr_target_record r{};
@@ -211,16 +212,16 @@
 	{
 		tr_roster_release(&other.roster);
 		free(node.reported);
-		Changes::TearDown();
+		MeshChanges::TearDown();
 	}
 
-	void say(bool lost)
+	void report_rows(bool drop_message)
 	{
 		mesh_row rows[MESH_MAX_ROWS];
 		mesh_message msg{};
 
 		mesh_add_rows(&m, &msg, rows, 1400);
-		if (!lost)
+		if (!drop_message)
 			mesh_handle_rows(&other_mesh, &node, &msg, now);
 		now += TR_MSEC(50);
 	}
@@ -232,59 +233,59 @@
 	}
 };
 
-/* Guards against targets that are held to be busy for seconds after their last
- * request has ended, because the message that told of it was lost or overtaken.
- */
-TEST_F(Rows, AnEndWhoseMessageIsLostIsToldInTheNext)
+/* Guards against targets that count as busy for seconds after their last
+ * request has finished, because the message that reported it was lost or
+ * overtaken. */
+TEST_F(MeshRows, ALostEndOfARequestIsReportedInTheNextMessage)
 {
 	for (unsigned i = 0; i < 10; i++)
 		request(20 * i, 1);
-	say(false);
+	report_rows(false);
 	for (unsigned i = 0; i < 10; i++) {
 		EXPECT_EQ(other.roster.rows[20 * i].others_in_flight, 1u);
 		request(20 * i, 0);
 	}
-	say(true);
-	say(false);
+	report_rows(true);
+	report_rows(false);
 	for (unsigned i = 0; i < 10; i++)
 		EXPECT_EQ(other.roster.rows[20 * i].others_in_flight, 0u);
 }
 
-/* Guards against targets at which a VM was never answered and whose last news
- * was lost twice: nobody would hear of the end. */
-TEST_F(Rows, WhatWasNeverAnsweredIsToldAgainToo)
+/* Guards against requests that never finish for other VMs: the target never
+ * answered the sender, and the last report was lost twice. */
+TEST_F(MeshRows, ATargetThatNeverAnsweredIsReportedAgain)
 {
 	request(7, 1);
 	e.roster.rows[7].own.count[TR_SYMPTOM_OVERDUE] = 1;
-	say(false);
+	report_rows(false);
 	request(7, 0);
-	say(true);
-	say(true);
+	report_rows(true);
+	report_rows(true);
 	for (unsigned i = 0; i < e.roster.count; i++)
-		say(false);
+		report_rows(false);
 	EXPECT_EQ(other.roster.rows[7].others_in_flight, 0u);
 }
 
-/* Guards against targets that are sent their next request too late, since VMs
- * took an answer for a request that was sent a moment ago. */
-TEST_F(Rows, AnAnswerMakesItsRequestNoYounger)
+/* Guards against targets that get their next request too late, because VMs take
+ * an answer for a request that has just been sent. */
+TEST_F(MeshRows, AnAnswerDoesNotCountAsANewRequest)
 {
 	request(7, 1);
-	say(false);
+	report_rows(false);
 	apr_time_t heard_at = other.roster.rows[7].used_at;
 
 	EXPECT_GT(heard_at, 0);
 	now += TR_MSEC(250);
 	e.roster.rows[7].own.count[TR_SYMPTOM_ANSWERED]++;
 	request(7, 0);
-	say(false);
+	report_rows(false);
 	EXPECT_EQ(other.roster.rows[7].used_at, heard_at);
 }
 
-/* Guards against sound targets that an old request holds back, since a later
- * one began and was answered between two messages: VMs can't tell then that it
- * was the newest. */
-TEST_F(Rows, WhatBeginsAndIsAnsweredInOneMessageIsTheNewest)
+/* Guards against healthy targets that are held back by an old request. A later
+ * one began and was answered between two messages, so VMs can't see from the
+ * totals that it was the newest. */
+TEST_F(MeshRows, ARequestAnsweredWithinOneMessageIsTheNewest)
 {
 	const tr_instance *row = &other.roster.rows[7];
 
@@ -293,27 +294,27 @@
 			&other.roster.services[row->service], TR_MSEC(20),
 			true);
 	request(7, 1);
-	say(false);
+	report_rows(false);
 	e.roster.rows[7].own.count[TR_SYMPTOM_OVERDUE]++;
 	request(7, 1);
-	say(false);
+	report_rows(false);
 	now += TR_SEC(2);
 	e.roster.rows[7].own.count[TR_SYMPTOM_ANSWERED]++;
 	request(7, 1);
-	say(false);
+	report_rows(false);
 	EXPECT_TRUE(tr_instance_answered_since_hang(row));
-	/* Nor is the end of the old one a new failure. */
+	/* The end of the old request is no new failure either. */
 	now += TR_SEC(1);
 	apr_time_t failed_at = row->failed_at;
 
 	request(7, 0);
-	say(false);
+	report_rows(false);
 	EXPECT_EQ(row->failed_at, failed_at);
 }
 
-/* Guards against targets that seem idle, since the VM that sent there had its
- * request begun and ended between two messages. */
-TEST_F(Rows, WhatBeginsAndEndsInOneMessageIsUse)
+/* Guards against targets that seem idle because a request to them began and
+ * finished between two messages. */
+TEST_F(MeshRows, ARequestFinishedWithinOneMessageCountsAsUse)
 {
 	for (tr_symptom s :
 	     { TR_SYMPTOM_ANSWERED, TR_SYMPTOM_ANSWERED_OVERDUE }) {
@@ -322,37 +323,37 @@
 		request(7, 0);
 		apr_time_t heard_at = now;
 
-		say(false);
+		report_rows(false);
 		EXPECT_EQ(other.roster.rows[7].used_at, heard_at);
 	}
 }
 
-/* Guards against idle targets that look used, since a VM that was lost for a
- * while tells all it ever counted there once more. */
-TEST_F(Rows, AVmThatIsHeardAgainTellsNoOldNews)
+/* Guards against idle targets that look used, because a VM that was lost for a
+ * while reports all its totals again. */
+TEST_F(MeshRows, TotalsOfAVmHeardAgainAreNotNew)
 {
 	const tr_instance *row = &other.roster.rows[7];
 
 	e.roster.rows[7].own.count[TR_SYMPTOM_ANSWERED] = 300;
 	request(7, 0);
-	say(false);
+	report_rows(false);
 	apr_time_t heard_at = row->used_at;
 
 	now += TR_SEC(5);
 	mesh_forget_reports(&other_mesh, &node);
 	for (unsigned i = 0; i < e.roster.count; i++)
-		say(false);
+		report_rows(false);
 	EXPECT_EQ(row->used_at, heard_at);
 }
 
-/* What two VMs tell each other of what the whole fleet shares: repeats of a
- * service's requests, and the requests of an organisation. */
-struct Shares : Rows {
+/* Two VMs that report what the whole fleet shares: retries per service, and
+ * requests per organisation. */
+struct MeshShares : MeshRows {
 	tr_limit *limit, *own_limit;
 
 	void SetUp() override
 	{
-		Rows::SetUp();
+		MeshRows::SetUp();
 		for (entry *vm : { &e, &other }) {
 			tr_membership_init(&vm->members, 1, 1, "dc-1");
 			vm->repeat_bound = { 0.2, 50, TR_SEC(10), 2, 2 };
@@ -373,10 +374,10 @@
 		}
 		free(node.work);
 		free(node.limits);
-		Rows::TearDown();
+		MeshRows::TearDown();
 	}
 
-	void tell()
+	void report()
 	{
 		mesh_work work[MESH_MAX_WORK];
 		mesh_usage usage[MESH_MAX_USAGE];
@@ -404,28 +405,28 @@
 	}
 };
 
-/* Guards against repeats beyond the bound after links heal: what a VM sent
- * while it was lost to not_ready would never be counted by them. */
-TEST_F(Shares, RepeatsThatALostVmSentCountOnceItIsHeard)
+/* Guards against retries beyond the bound after links heal: what a VM sent
+ * while it was lost to others must be counted. */
+TEST_F(MeshShares, RepeatsOfALostVmCountOnceItIsHeardAgain)
 {
 	repeat(3);
-	tell();
+	report();
 	EXPECT_EQ(repeats_heard(), 3u);
 	now += TR_SEC(3);
 	mesh_forget_reports(&other_mesh, &node);
 	repeat(5);
-	tell();
+	report();
 	EXPECT_EQ(repeats_heard(), 8u);
 }
 
-/* Guards against VMs that take for unused what a VM sent and had not told when
- * it was lost. */
-TEST_F(Shares, WhatASilentVmMayHaveSentCounts)
+/* Guards against VMs that treat the part of the retry budget as unused that a
+ * VM spent before it was lost but had not reported. */
+TEST_F(MeshShares, PossibleRepeatsOfASilentVmCount)
 {
 	entry_allowance(&e, 0)->own.requests = 1;
-	tell();
+	report();
 	entry_allowance(&e, 0)->own.requests += 100;
-	tell();
+	report();
 	tr_node *silent = tr_membership_find_or_add(&other.members, 2);
 	silent->work = node.work;
 	silent->work_count = node.work_count;
@@ -441,18 +442,18 @@
 	EXPECT_GE(repeats_heard(), 10u);
 }
 
-/* Guards against repeats of a process that has just started, which are told for
- * the first time and yet are no old ones. */
-TEST_F(Shares, TheFirstRepeatsOfAProcessCount)
+/* Guards against retries of a process that has just started being taken for old
+ * ones because they are reported for the first time. */
+TEST_F(MeshShares, TheFirstRepeatsOfAProcessCount)
 {
 	repeat(4);
-	tell();
+	report();
 	EXPECT_EQ(repeats_heard(), 4u);
 }
 
-/* Guards against services beyond the first ones that a message has room for,
- * which nobody else would hear of. */
-TEST_F(Shares, WorkForManyServicesIsToldInTurn)
+/* Guards against services that no other VM learns of because they do not fit
+ * into one message. */
+TEST_F(MeshShares, TotalsOfManyServicesAreSentInTurn)
 {
 	const unsigned services = MESH_MAX_WORK + 8;
 	char name[16];
@@ -466,7 +467,7 @@
 	for (unsigned i = 1; i <= services; i++)
 		e.allowances[i].own = { 3, 2 };
 	for (int messages = 0; messages < 3; messages++)
-		tell();
+		report();
 	for (unsigned i = 1; i <= services; i++) {
 		tr_allowance_sums sums;
 
@@ -475,13 +476,13 @@
 	}
 }
 
-/* Guards against organisations that are refused, since a VM that was lost for a
- * while tells all requests that it ever let through once more. */
-TEST_F(Shares, AVmThatIsHeardAgainTellsNoOldRequestsOfAnOrganisation)
+/* Guards against organisations whose requests are refused because a VM that was
+ * lost for a while reports all its totals again. */
+TEST_F(MeshShares, OrganisationTotalsOfAVmHeardAgainAreNotNew)
 {
 	own_limit->own = { 300, 300 };
 	own_limit->changed = true;
-	tell();
+	report();
 	double used = tr_limit_used(limit);
 
 	now += TR_SEC(1);
@@ -489,7 +490,7 @@
 	mesh_forget_reports(&other_mesh, &node);
 	own_limit->own = { 302, 302 };
 	own_limit->changed = true;
-	tell();
+	report();
 	EXPECT_EQ(tr_limit_used(limit), used + 2);
 }
 
--- a/tests/notice_path_test.cc
+++ b/tests/notice_path_test.cc
@@ -1,6 +1,7 @@
 /*
- * What targets say of themselves in their answers, over loopback: several real
- * entry VMs, and targets that name a limit, say that they leave, or want rest.
+ * Announcements of targets in their responses, over loopback: several real
+ * entry VMs, and targets that announce a limit, that they are leaving, or a
+ * time to back off.
  */
 #include <gtest/gtest.h>
 #include <deque>
@@ -16,17 +17,18 @@
 
 constexpr unsigned VMS = 4, TARGETS = 4, CALLERS_A_VM = 2;
 constexpr int DEADLINE_MS = 2500;
-/* When all VMs must keep a limit, and the window in which it is counted. */
+/* Time after which all VMs must respect a limit, and the window in which
+ * requests are counted. */
 constexpr auto STABLE = std::chrono::seconds(3);
 constexpr auto WINDOW = std::chrono::seconds(4);
-/* How long a target that leaves goes on serving. */
+/* How long a leaving target goes on serving. */
 constexpr auto DRAIN = std::chrono::seconds(2);
-/* How long a target wants nothing from a VM that it has turned away, and from
- * when on that is counted. */
-constexpr auto REST = std::chrono::seconds(3);
-constexpr auto REST_SLACK = std::chrono::milliseconds(500);
+/* Back-off time that a target asks a VM for, and the time after which requests
+ * in it are counted as violations. */
+constexpr auto BACK_OFF = std::chrono::seconds(3);
+constexpr auto BACK_OFF_SLACK = std::chrono::milliseconds(500);
 
-/* A target that says in its answers what a test tells it to. */
+/* A target whose responses carry the headers that a test sets. */
 class Target
 {
       public:
@@ -43,60 +45,61 @@
 	{
 	}
 
-	void say(const std::string &headers, bool turns_away_ = false)
+	void set_answers(const std::string &headers, bool refuse = false)
 	{
 		std::lock_guard<std::mutex> lock(mutex);
 
-		says = headers;
-		turns_away = turns_away_;
+		extra_headers = headers;
+		refuses = refuse;
 	}
 
 	std::vector<Arrival> arrivals()
 	{
 		std::lock_guard<std::mutex> lock(mutex);
 
-		return seen;
+		return received;
 	}
 
-	void forget()
+	void clear_arrivals()
 	{
 		std::lock_guard<std::mutex> lock(mutex);
 
-		seen.clear();
+		received.clear();
 	}
 
-	/* The most requests that arrived in any window of the length. */
-	unsigned most_within(Clock::duration window)
+	/* The largest number of requests that arrived within any window of this
+	 * length. */
+	unsigned max_within(Clock::duration window)
 	{
 		std::deque<Time> in;
-		size_t most = 0;
+		size_t largest = 0;
 
 		for (const Arrival &a : arrivals()) {
 			in.push_back(a.at);
 			while (a.at - in.front() > window)
 				in.pop_front();
-			most = std::max(most, in.size());
+			largest = std::max(largest, in.size());
 		}
-		return (unsigned)most;
+		return (unsigned)largest;
 	}
 
-	/* The most requests that one VM sent in a rest that it was asked for,
-	 * where each of them is answered by one. */
-	unsigned most_in_a_rest(Clock::duration rest)
+	/* The largest number of requests that one VM sent during a back-off,
+	 * where the target answers each request by asking for one. */
+	unsigned max_in_back_off(Clock::duration rest)
 	{
-		unsigned most = 0;
+		unsigned largest = 0;
 		auto all = arrivals();
 
-		for (const Arrival &asked : all) {
+		for (const Arrival &sent : all) {
 			unsigned n = 0;
 
 			for (const Arrival &a : all)
-				n += a.vm == asked.vm &&
-				     a.at > asked.at + REST_SLACK &&
-				     a.at < asked.at + rest;
-			most = std::max(most, n);
+				n += a.vm == sent.vm &&
+				     a.at > sent.at + BACK_OFF_SLACK &&
+				     a.at < sent.at + rest;
+			largest = std::max(largest, n);
 		}
-		return most;
+		return largest;
 	}
 
 	const std::string id;
@@ -120,7 +123,7 @@
 		std::string headers =
 			"X-Request-Id: " + header(request, "X-Request-Id") +
 			"\r\n";
-		bool away;
+		bool refuse_this;
 
 		if (header(request, "X-Expect-Instance") != id)
 			return send_all(fd,
@@ -128,11 +131,11 @@
 		{
 			std::lock_guard<std::mutex> lock(mutex);
 
-			seen.push_back({ Clock::now(), from });
-			headers += says;
-			away = turns_away;
+			received.push_back({ Clock::now(), from });
+			headers += extra_headers;
+			refuse_this = refuses;
 		}
-		if (away)
+		if (refuse_this)
 			return send_all(
 				fd, http(503, headers + "X-Not-Executed: 1\r\n",
 					 ""));
@@ -142,9 +145,9 @@
 	}
 
 	std::mutex mutex;
-	std::vector<Arrival> seen;
-	std::string says;
-	bool turns_away = false;
+	std::vector<Arrival> received;
+	std::string extra_headers;
+	bool refuses = false;
 };
 
 class NoticePath : public testing::Test
@@ -155,8 +158,8 @@
 	std::vector<std::unique_ptr<Vm>> vms;
 	std::vector<std::unique_ptr<Target>> targets;
 	std::vector<std::thread> callers;
-	std::atomic<bool> over{ false };
-	std::atomic<unsigned> asked{ 0 }, not_served{ 0 };
+	std::atomic<bool> stopping{ false };
+	std::atomic<unsigned> sent{ 0 }, not_served{ 0 };
 
 	void SetUp() override
 	{
@@ -175,13 +178,14 @@
 		for (unsigned i = 0; i < VMS; i++)
 			start_vm(i);
 		for (unsigned i = 0; i < VMS; i++)
-			ASSERT_TRUE(becomes(
-				[&] { return ask(i, "/read/warm") == 200; }));
+			ASSERT_TRUE(wait_until([&] {
+				return request_status(i, "/read/warm") == 200;
+			}));
 	}
 
 	void TearDown() override
 	{
-		end_calls();
+		stop_callers();
 		for (unsigned i = 0; HasFailure() && i < vms.size(); i++)
 			print_log(i);
 		vms.clear();
@@ -247,7 +251,7 @@
 		vms[i]->start();
 	}
 
-	bool becomes(const std::function<bool()> &what)
+	bool wait_until(const std::function<bool()> &what)
 	{
 		for (int i = 0; i < 1000; i++) {
 			if (what())
@@ -258,15 +262,15 @@
 		return false;
 	}
 
-	std::string answer_to(unsigned vm, const std::string &path,
-			      const std::string &body = "")
+	std::string send_request(unsigned vm, const std::string &path,
+				 const std::string &body = "")
 	{
 		int fd = dial({ vms[vm]->ip, FRONT_PORT }, DEADLINE_MS);
 		std::string rest, answer;
 		std::string text =
 			(body.empty() ? "GET " : "POST ") + path +
 			" HTTP/1.1\r\nHost: h.x\r\nX-Request-Id: id-" +
-			std::to_string(++asked) +
+			std::to_string(++sent) +
 			"\r\nX-Deadline-Ms: " + std::to_string(DEADLINE_MS) +
 			"\r\nContent-Length: " + std::to_string(body.size()) +
 			"\r\n\r\n" + body;
@@ -279,25 +283,28 @@
 		return answer;
 	}
 
-	int ask(unsigned vm, const std::string &path,
-		const std::string &body = "")
+	int request_status(unsigned vm, const std::string &path,
+			   const std::string &body = "")
 	{
-		std::string answer = answer_to(vm, path, body);
+		std::string answer = send_request(vm, path, body);
 
 		return answer.size() < 12 ? 0 : std::stoi(answer.substr(9, 3));
 	}
 
-	/* Callers that keep on asking each VM, for reads and for what must run
-	 * once. */
-	void begin_calls()
+	/* Callers that send each VM requests all the time, both safe and unsafe
+	 * ones. */
+	void start_callers()
 	{
 		for (unsigned i = 0; i < VMS * CALLERS_A_VM; i++)
 			callers.emplace_back([this, i] {
-				for (unsigned n = i; !over; n++) {
-					int status =
-						n % 2 ? ask(i % VMS, "/read/a")
-						      : ask(i % VMS, "/order/a",
-							    "body");
+				for (unsigned n = i; !stopping; n++) {
+					int status = n % 2 ? request_status(
+								     i % VMS,
+								     "/read/a")
+							   : request_status(
+								     i % VMS,
+								     "/order/a",
+								     "body");
 
 					not_served += status != 200;
 					usleep(20000);
@@ -305,65 +312,66 @@
 			});
 	}
 
-	void end_calls()
+	void stop_callers()
 	{
-		over = true;
+		stopping = true;
 		for (auto &caller : callers)
 			caller.join();
 		callers.clear();
 	}
 };
 
-/* Guards against VMs that each know a target's limit, or none of them, and
- * together send it more. */
+/* Guards against VMs that respect a target's limit each on its own, or not at
+ * all, and exceed it together. */
 TEST_F(NoticePath, ALimitThatATargetNamesHoldsOverAllVms)
 {
-	begin_calls();
-	targets[0]->say("Server-Limit: 1\r\n");
+	start_callers();
+	targets[0]->set_answers("Server-Limit: 1\r\n");
 	std::this_thread::sleep_for(STABLE);
-	targets[0]->forget();
+	targets[0]->clear_arrivals();
 	std::this_thread::sleep_for(2 * WINDOW);
-	EXPECT_LE(targets[0]->most_within(WINDOW), 1.5 * 1 * 4 + 5);
+	EXPECT_LE(targets[0]->max_within(WINDOW), 1.5 * 1 * 4 + 5);
 	EXPECT_GE(targets[0]->arrivals().size(), 1u);
 	EXPECT_EQ(not_served, 0u);
-	/* Once it names none any more it is used like the others. */
-	targets[0]->say("");
-	EXPECT_TRUE(becomes([&] {
-		return targets[0]->most_within(std::chrono::seconds(1)) > 8;
+	/* Without a limit the target is used like the others. */
+	targets[0]->set_answers("");
+	EXPECT_TRUE(wait_until([&] {
+		return targets[0]->max_within(std::chrono::seconds(1)) > 8;
 	}));
 }
 
-/* Guards against VMs that go on with a target that has said that it leaves, for
- * as long as the store, which is away or behind, calls it ready. */
-TEST_F(NoticePath, ATargetThatSaysThatItLeavesGetsNoMoreFromAnyVm)
+/* Guards against VMs that keep using a target that has announced that it is
+ * leaving, for as long as the store, which is down or behind, calls it ready.
+ */
+TEST_F(NoticePath, ALeavingTargetGetsNoMoreRequestsFromAnyVm)
 {
-	begin_calls();
+	start_callers();
 	ASSERT_TRUE(
-		becomes([&] { return targets[0]->arrivals().size() > 99; }));
-	targets[0]->say("Server-Leaving: 1\r\n");
+		wait_until([&] { return targets[0]->arrivals().size() > 99; }));
+	targets[0]->set_answers("Server-Leaving: 1\r\n");
 	std::this_thread::sleep_for(DRAIN);
-	targets[0]->forget();
+	targets[0]->clear_arrivals();
 	std::this_thread::sleep_for(DRAIN);
 	EXPECT_EQ(targets[0]->arrivals().size(), 0u);
 	EXPECT_EQ(not_served, 0u);
 }
 
-/* Guards against a VM that asks a target that wants rest again and again, and
- * spends the fleet's repeats on what it turns away. */
-TEST_F(NoticePath, ATargetThatWantsRestIsLeftAloneByTheVmThatItTold)
+/* Guards against a VM that keeps sending requests to a target that asked it to
+ * back off, and spends the fleet's retry budget on refusals. */
+TEST_F(NoticePath, ATargetGetsNoRequestsFromTheVmThatItAskedToBackOff)
 {
-	begin_calls();
+	start_callers();
 	ASSERT_TRUE(
-		becomes([&] { return targets[0]->arrivals().size() > 99; }));
-	targets[0]->say("Retry-After: 3\r\n", true);
-	targets[0]->forget();
-	std::this_thread::sleep_for(3 * REST);
-	EXPECT_LE(targets[0]->most_in_a_rest(REST), 2u);
+		wait_until([&] { return targets[0]->arrivals().size() > 99; }));
+	targets[0]->set_answers("Retry-After: 3\r\n", true);
+	targets[0]->clear_arrivals();
+	std::this_thread::sleep_for(3 * BACK_OFF);
+	EXPECT_LE(targets[0]->max_in_back_off(BACK_OFF), 2u);
 	EXPECT_GE(targets[0]->arrivals().size(), VMS);
 	EXPECT_EQ(not_served, 0u);
-	targets[0]->say("");
-	EXPECT_TRUE(becomes([&] {
-		return targets[0]->most_within(std::chrono::seconds(1)) > 8;
+	targets[0]->set_answers("");
+	EXPECT_TRUE(wait_until([&] {
+		return targets[0]->max_within(std::chrono::seconds(1)) > 8;
 	}));
 }
 
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -89,7 +89,7 @@
 	EXPECT_EQ(std::string(p.item(0)->value, p.item(0)->value_len), "hello");
 }
 
-TEST(Platform, ReadsWhatHasChanged)
+TEST(Platform, ReadsChanges)
 {
 	Page p;
 
@@ -101,11 +101,10 @@
 }
 
 /*
- * Symptom: all targets vanish. Sequence: the store answers with half a page, or
- * with something else, and 200. Cause: what could not be read was taken for an
- * empty list.
+ * Guards against losing all targets when the store answers 200 with half a page
+ * or with something else, and what can't be parsed is taken for an empty list.
  */
-TEST(Platform, NonsenseIsAnErrorThatSaysWhatWasExpected)
+TEST(Platform, InvalidPagesAreRejectedWithAReason)
 {
 	const char *const wrong[] = {
 		"",
@@ -157,8 +156,9 @@
 	EXPECT_STREQ(err.field, "address");
 }
 
-/* An entry as targets write it, with one field put in place of another. */
-std::string entry_with(const std::string &old_text, const std::string &new_text)
+/* A record as targets write it, with one part of its text replaced. */
+std::string record_with(const std::string &old_text,
+			const std::string &new_text)
 {
 	std::string text =
 		R"({"born":1782630203067,"address":"10.1.0.9:80","info":)"
@@ -172,7 +172,7 @@
 
 TEST(Platform, ReadsWhenATargetStarted)
 {
-	std::string text = entry_with("v1", "v2");
+	std::string text = record_with("v1", "v2");
 	store_item item = item_of("servers/i-7f", text);
 	tr_target_record r;
 	tr_error err{};
@@ -182,11 +182,11 @@
 }
 
 /*
- * Symptom: requests go to addresses where no target is. Sequence: a program
- * that is no target writes below the targets' keys. Cause: what was missing or
- * of another type was taken for zero or for ready.
+ * Guards against requests to addresses without a target, when another program
+ * writes below the targets' keys and a missing field or one of another type is
+ * taken for zero or for ready.
  */
-TEST(Platform, AnEntryOfAnotherWriterNamesNoTarget)
+TEST(Platform, RecordsOfOtherProgramsAreRejected)
 {
 	const struct {
 		const char *old_text;
@@ -221,7 +221,7 @@
 	};
 
 	for (const auto &w : wrong) {
-		std::string text = entry_with(w.old_text, w.new_text);
+		std::string text = record_with(w.old_text, w.new_text);
 		store_item item = item_of("servers/i-7f", text);
 		tr_target_record r;
 		tr_error err{};
@@ -233,10 +233,10 @@
 	}
 }
 
-TEST(Platform, BytesThatAreNoObjectNameNoTarget)
+TEST(Platform, RecordsThatAreNoObjectAreRejected)
 {
 	std::string texts[] = { "", "[1]", "7", std::string("\0\xff{", 3),
-				entry_with("born", "bo\xff\xfen") };
+				record_with("born", "bo\xff\xfen") };
 
 	for (std::string &text : texts) {
 		store_item item = item_of("servers/i-7f", text);
@@ -249,12 +249,12 @@
 }
 
 /*
- * Symptom: targets get headers that nobody meant to send. Sequence: a key holds
- * a line break. Cause: the id was put into a header as it stood.
+ * Guards against header injection: an id is sent in a header, and its key may
+ * hold a line break.
  */
-TEST(Platform, AnIdThatIsNotPlainIsRefused)
+TEST(Platform, AnIdWithSpacesOrControlsIsRefused)
 {
-	std::string text = entry_with("v1", "v1");
+	std::string text = record_with("v1", "v1");
 	const std::string keys[] = { "servers/", "servers/a b",
 				     "servers/a\r\nX-A: 1",
 				     "servers/" + std::string(64, 'a') };
@@ -270,14 +270,14 @@
 	}
 }
 
-/* Any entry with some bytes changed is refused with a reason, or is one whose
- * every part can be used as it is. */
-TEST(Platform, AnEntryWithChangedBytesIsRefusedOrUsable)
+/* A record with some bytes changed is either refused with a reason, or every
+ * part of it is usable. */
+TEST(Platform, ACorruptedRecordIsRefusedOrUsable)
 {
 	std::mt19937 random(20261202);
 
 	for (int run = 0; run < 20000; run++) {
-		std::string text = entry_with("v1", "v1");
+		std::string text = record_with("v1", "v1");
 		tr_target_record r;
 		tr_error err{};
 
@@ -318,8 +318,8 @@
 	tr_routes_unref(r);
 }
 
-/* Every prefix of a configuration is no configuration. */
-TEST(Platform, ACutConfigurationIsRefused)
+/* No proper prefix of a configuration is valid. */
+TEST(Platform, ATruncatedConfigurationIsRefused)
 {
 	std::string whole = CONFIG;
 
@@ -348,7 +348,7 @@
 	EXPECT_STREQ(err.field, "service");
 }
 
-/* A field that is new to this version does no harm. */
+/* Fields of later versions are ignored. */
 TEST(Platform, UnknownColumnsAreIgnored)
 {
 	std::string text = CONFIG;
@@ -363,7 +363,7 @@
 	tr_routes_unref(r);
 }
 
-/* The configuration with organisations, given as their rows. */
+/* The configuration with organisations added, given as their rows. */
 std::string with_organisations(const std::string &rows)
 {
 	std::string text = CONFIG;
@@ -431,7 +431,7 @@
 	tr_routes_unref(r);
 }
 
-/* What is wrong is named, and no key with it. */
+/* The error names the invalid field and contains no key. */
 TEST(Platform, WrongOrganisationsAreRefused)
 {
 	const struct {
@@ -459,7 +459,7 @@
 	}
 }
 
-TEST(Platform, PathsEscapeWhatTheyCarry)
+TEST(Platform, PathsEscapeTheirParameters)
 {
 	g_autofree char *list =
 		platform_dialect.list_path("servers/", "servers/a b&c");
@@ -484,7 +484,7 @@
 	return notice;
 }
 
-TEST(Platform, ReadsWhatATargetSaysOfItself)
+TEST(Platform, ReadsAnnouncementsOfATarget)
 {
 	tr_notice n = notice_of(200, "Server-Limit: 1.5 \r\n"
 				     "Server-Leaving: 1 \r\n");
@@ -502,7 +502,7 @@
 	EXPECT_EQ(notice_of(200, "").limit_state, TR_NOTICE_ABSENT);
 }
 
-TEST(Platform, ARestIsNamedByRefusalsOnly)
+TEST(Platform, RetryAfterCountsOnlyWithStatus503)
 {
 	for (int status : { 200, 429, 500, 504 })
 		EXPECT_EQ(notice_of(status, "Retry-After: 3\r\n").rest_state,
@@ -510,7 +510,7 @@
 			<< status;
 }
 
-TEST(Platform, WhatATargetSaysThatCannotBeReadSetsNothing)
+TEST(Platform, UnreadableAnnouncementsSetNothing)
 {
 	const std::string bad[] = {
 		"",    "-1",
@@ -540,7 +540,7 @@
 				     .leaving);
 }
 
-TEST(Platform, ALargeNumberIsNoOverflow)
+TEST(Platform, LargeNumbersDoNotOverflow)
 {
 	tr_notice n = notice_of(503, "Server-Limit: " + std::string(32, '9') +
 					     "\r\nRetry-After: " +
