--- a/entry/dialect.h
+++ b/entry/dialect.h
@@ -44,8 +44,8 @@
 	const char *load;
 	const char *api_key;
 	const char *organisation;
-	void (*read_notice)(const struct message *answer,
-			    struct tr_notice *notice);
+	void (*parse_notice)(const struct message *answer,
+			     struct tr_notice *notice);
 
 	/* Endpoints for callers and for the platform. */
 	const char *lookup_path;
@@ -60,16 +60,16 @@
 	char *(*list_path)(const char *prefix, const char *after_key);
 	char *(*watch_path)(const char *prefix, uint64_t after_revision,
 			    apr_time_t wait);
-	int (*read_page)(const char *body, size_t len, struct store_page *page,
-			 struct tr_error *err);
+	int (*parse_page)(const char *body, size_t len, struct store_page *page,
+			  struct tr_error *err);
 	int history_lost_status;
 	bool (*is_routes_key)(const char *key);
 	bool (*is_target_key)(const char *key);
-	struct tr_routes *(*read_routes)(const struct store_item *item,
-					 struct tr_error *err);
-	int (*read_target)(const struct store_item *item,
-			   struct tr_target_record *record,
-			   struct tr_error *err);
+	struct tr_routes *(*parse_routes)(const struct store_item *item,
+					  struct tr_error *err);
+	int (*parse_target)(const struct store_item *item,
+			    struct tr_target_record *record,
+			    struct tr_error *err);
 };
 
 void store_page_init(struct store_page *page);
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -114,7 +114,7 @@
 		return;
 	if (item->removed)
 		return;
-	routes = e->dialect->read_routes(item, &err);
+	routes = e->dialect->parse_routes(item, &err);
 	if (!routes) {
 		e->refused_revision = item->revision;
 		eventlog(EVENT_FAILURE, "routes-refused",
@@ -185,7 +185,7 @@
 	}
 	if (!e->dialect->is_target_key(item->key))
 		return false;
-	if (e->dialect->read_target(item, record, &err)) {
+	if (e->dialect->parse_target(item, record, &err)) {
 		refuse_target(e, item, record, &err, from);
 		return false;
 	}
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -114,7 +114,7 @@
 
 	if (!row->used || row->hash != hash)
 		return;
-	e->dialect->read_notice(answer, &notice);
+	e->dialect->parse_notice(answer, &notice);
 	if (notice.limit_state == TR_NOTICE_INVALID)
 		log_refused_notice(e, row, "limit", "requests a second");
 	else
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -184,8 +184,8 @@
 		return;
 	}
 	store_page_init(&page);
-	if (e->dialect->read_page((const char *)answer->body->data,
-				  answer->body->len, &page, &err)) {
+	if (e->dialect->parse_page((const char *)answer->body->data,
+				   answer->body->len, &page, &err)) {
 		eventlog(EVENT_FAILURE, "store-nonsense",
 			 "field=%s value=\"%s\" expected=\"%s\"", err.field,
 			 err.value, err.expected);
--- a/fuzz/fuzz_store.c
+++ b/fuzz/fuzz_store.c
@@ -10,13 +10,13 @@
 #include "message.h"
 #include "platform.h"
 
-static void read_page(const char *text, size_t len)
+static void parse_page(const char *text, size_t len)
 {
 	struct tr_error err = { 0 };
 	struct store_page page;
 
 	store_page_init(&page);
-	platform_dialect.read_page(text, len, &page, &err);
+	platform_dialect.parse_page(text, len, &page, &err);
 	store_page_clear(&page);
 }
 
@@ -26,16 +26,16 @@
 	struct tr_target_record record;
 	struct tr_error err = { 0 };
 
-	platform_dialect.read_target(&item, &record, &err);
-	tr_routes_unref(platform_dialect.read_routes(&item, &err));
+	platform_dialect.parse_target(&item, &record, &err);
+	tr_routes_unref(platform_dialect.parse_routes(&item, &err));
 }
 
 /* What a target says of itself: every number that is given can be used. */
-static void read_notice(const struct message *msg)
+static void parse_notice(const struct message *msg)
 {
 	struct tr_notice notice;
 
-	platform_dialect.read_notice(msg, &notice);
+	platform_dialect.parse_notice(msg, &notice);
 	if (!(notice.limit >= 0 && notice.limit < 1e33) || notice.rest < 0)
 		abort();
 }
@@ -53,7 +53,7 @@
 		if (!msg.complete)
 			continue;
 		message_header(&msg, "Host");
-		read_notice(&msg);
+		parse_notice(&msg);
 		message_reset(&msg);
 	}
 	message_end_of_stream(&msg);
@@ -71,7 +71,7 @@
 	text = g_memdup2(data + 1, size - 1);
 	switch (data[0] % 4) {
 	case 0:
-		read_page(text, size - 1);
+		parse_page(text, size - 1);
 		break;
 	case 1:
 		read_values(text, size - 1);
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -31,8 +31,8 @@
 
 	int read(const std::string &text)
 	{
-		return platform_dialect.read_page(text.data(), text.size(),
-						  &page, &err);
+		return platform_dialect.parse_page(text.data(), text.size(),
+						   &page, &err);
 	}
 
 	store_item *item(guint i)
@@ -134,7 +134,7 @@
 	tr_target_record r;
 	tr_error err{};
 
-	ASSERT_EQ(platform_dialect.read_target(&item, &r, &err), 0);
+	ASSERT_EQ(platform_dialect.parse_target(&item, &r, &err), 0);
 	EXPECT_STREQ(r.id, "i-7f");
 	EXPECT_STREQ(r.service, "s1");
 	EXPECT_STREQ(r.data_centre, "z");
@@ -152,7 +152,7 @@
 	tr_target_record r;
 	tr_error err{};
 
-	EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1);
+	EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1);
 	EXPECT_STREQ(err.field, "address");
 }
 
@@ -177,7 +177,7 @@
 	tr_target_record r;
 	tr_error err{};
 
-	ASSERT_EQ(platform_dialect.read_target(&item, &r, &err), 0);
+	ASSERT_EQ(platform_dialect.parse_target(&item, &r, &err), 0);
 	EXPECT_EQ(r.born, 1782630203067u);
 }
 
@@ -226,7 +226,7 @@
 		tr_target_record r;
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1)
+		EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1)
 			<< text;
 		EXPECT_STREQ(err.field, w.field) << text;
 		EXPECT_STREQ(r.id, "i-7f");
@@ -243,7 +243,7 @@
 		tr_target_record r;
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1);
+		EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1);
 		EXPECT_STRNE(err.expected, "");
 	}
 }
@@ -264,7 +264,7 @@
 		tr_target_record r;
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1);
+		EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1);
 		EXPECT_STREQ(err.field, "key");
 		EXPECT_STREQ(r.id, "");
 	}
@@ -285,7 +285,7 @@
 			text[random() % text.size()] = (char)(random() % 256);
 		store_item item = item_of("servers/i-7f", text);
 
-		if (platform_dialect.read_target(&item, &r, &err)) {
+		if (platform_dialect.parse_target(&item, &r, &err)) {
 			EXPECT_NE(err.code, TR_OK) << text;
 			continue;
 		}
@@ -301,7 +301,7 @@
 	std::string text = CONFIG;
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
 	EXPECT_EQ(r->version, 7u);
@@ -328,7 +328,7 @@
 		store_item item = item_of("op/config", text);
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_routes(&item, &err), nullptr)
+		EXPECT_EQ(platform_dialect.parse_routes(&item, &err), nullptr)
 			<< n;
 		EXPECT_NE(err.code, TR_OK) << n;
 	}
@@ -344,7 +344,7 @@
 	store_item item = item_of("op/config", text);
 	tr_error err{};
 
-	EXPECT_EQ(platform_dialect.read_routes(&item, &err), nullptr);
+	EXPECT_EQ(platform_dialect.parse_routes(&item, &err), nullptr);
 	EXPECT_STREQ(err.field, "service");
 }
 
@@ -357,7 +357,7 @@
 		     "\"colour\":\"blue\",\"limits\"");
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	EXPECT_NE(r, nullptr);
 	tr_routes_unref(r);
@@ -382,7 +382,7 @@
 		R"(null],["idle",[],1,null,null])");
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
 	ASSERT_NE(r->organisations, nullptr);
@@ -407,7 +407,7 @@
 	std::string text = CONFIG;
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr);
 	EXPECT_EQ(r->organisations, nullptr);
@@ -423,7 +423,7 @@
 	text.replace(text.find("2,null],"), 7, "2,null,true]");
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
 	EXPECT_TRUE(tr_routes_match(r, "h.example", 9, "/a/x")->is_public);
@@ -452,7 +452,7 @@
 		store_item item = item_of("op/config", text);
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_routes(&item, &err), nullptr)
+		EXPECT_EQ(platform_dialect.parse_routes(&item, &err), nullptr)
 			<< c.rows;
 		EXPECT_STREQ(err.field, c.field) << c.rows;
 		EXPECT_STRNE(err.value, "k1") << c.rows;
@@ -479,7 +479,7 @@
 
 	message_init(&msg, HTTP_RESPONSE, 32768, 4096);
 	EXPECT_GT(message_feed(&msg, text.data(), text.size()), 0);
-	platform_dialect.read_notice(&msg, &notice);
+	platform_dialect.parse_notice(&msg, &notice);
 	message_free(&msg);
 	return notice;
 }
