--- a/entry/dialect.h
+++ b/entry/dialect.h
@@ -1,5 +1,4 @@
-/* Interface to the platform's wire format. The entry daemon is written against
- * it, so that another platform needs only another struct dialect. */
+/* The names and formats by which the entry daemon talks to a platform. */
 #ifndef DIALECT_H
 #define DIALECT_H
 
--- a/entry/mesh_send.c
+++ b/entry/mesh_send.c
@@ -159,8 +159,8 @@
 	send_in_data_centre(mesh, true, buf, len, entry_now(mesh->e));
 }
 
-/* Returns a random VM of the group, with alive set only one that is heard, or
- * NULL if there is none. */
+/* Returns a random VM of the group, or NULL if there is none; with alive set
+ * only VMs that are alive count. */
 const struct tr_node *mesh_pick_node(struct mesh *mesh, unsigned group,
 				     bool alive, apr_time_t now)
 {
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -7,8 +7,8 @@
 
 /* Log lines a second, on average, about unreadable announcements. */
 #define REFUSAL_LINES_A_S 0.2
-/* Longer back-off times are cut to this one: nothing else ends a back-off that
- * a target asked for by mistake. */
+/* Longer back-off times are clamped to this one: nothing else ends a back-off
+ * that a target asked for by mistake. */
 #define REST_MAX TR_SEC(600)
 
 static void log_refused_notice(struct entry *e, const struct tr_instance *row,
@@ -87,7 +87,7 @@
 
 /*
  * Sends the target nothing for a while. It has asked only this VM for that, so
- * other VMs are not told. Logged when a back-off begins, not when it is
+ * the other VMs continue. Logged when a back-off begins, not when it is
  * extended.
  */
 static void apply_rest(struct tr_instance *row, apr_time_t rest, apr_time_t now)
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -1,7 +1,7 @@
 /*
- * Transfer of configurations and target lists between VMs over HTTP: a VM that
- * lacks one, or learns from a message that its list differs, fetches it from
- * another VM, and serves what it has.
+ * Transfer of configurations and target lists between VMs over HTTP. A VM that
+ * lacks one of them, or learns from a message that its list differs, fetches it
+ * from another VM, and then serves it to others.
  */
 #include "pull.h"
 
@@ -81,12 +81,12 @@
 		entry_offer_routes(e, &item, "peer");
 	}
 	if (e->routes && e->routes->revision > before) {
-		/* So that others of the group can ask this VM. */
+		/* Others of the group can now fetch it here. */
 		pull->on_new_data(e);
 		return;
 	}
 	e->counts.pulls_failed++;
-	tr_spread_failed(&pull->spread, pull->routes.to.sin_addr.s_addr,
+	tr_spread_failed(&pull->routes_spread, pull->routes.to.sin_addr.s_addr,
 			 &e->random, entry_now(e));
 }
 
@@ -160,13 +160,13 @@
 
 		apply_list(pull->e, root,
 			   (apr_time_t)header_number(answer, HEADER_SINCE));
-		/* So that others of the group can ask this VM. */
+		/* Others of the group can now fetch it here. */
 		if (first)
 			pull->on_new_data(pull->e);
 		return;
 	}
 	pull->e->counts.pulls_failed++;
-	tr_spread_failed(&pull->first_list, pull->targets.to.sin_addr.s_addr,
+	tr_spread_failed(&pull->list_spread, pull->targets.to.sin_addr.s_addr,
 			 &pull->e->random, entry_now(pull->e));
 }
 
@@ -191,11 +191,11 @@
 
 	if (e->roster.as_of || pull->targets.busy)
 		return;
-	holder = tr_spread_choose_source(&pull->first_list, &e->members, 0, 0,
+	holder = tr_spread_choose_source(&pull->list_spread, &e->members, 0, 0,
 					 &e->random, entry_now(e));
 	if (holder && start_get(pull, &pull->targets, holder->ip, TARGETS_PATH,
 				handle_targets_answer))
-		tr_spread_failed(&pull->first_list, holder->ip, &e->random,
+		tr_spread_failed(&pull->list_spread, holder->ip, &e->random,
 				 entry_now(e));
 }
 
@@ -209,12 +209,12 @@
 
 	if (pull->routes.busy)
 		return;
-	holder = tr_spread_choose_source(&pull->spread, &e->members, held,
-					 e->refused_revision, &e->random,
+	holder = tr_spread_choose_source(&pull->routes_spread, &e->members,
+					 held, e->refused_revision, &e->random,
 					 entry_now(e));
 	if (holder && start_get(pull, &pull->routes, holder->ip, ROUTES_PATH,
 				handle_routes_answer))
-		tr_spread_failed(&pull->spread, holder->ip, &e->random,
+		tr_spread_failed(&pull->routes_spread, holder->ip, &e->random,
 				 entry_now(e));
 }
 
@@ -365,8 +365,8 @@
 {
 	pull->e = e;
 	pull->on_new_data = on_new_data;
-	pull->spread.what = TR_RESOURCE_ROUTES;
-	pull->first_list.what = TR_RESOURCE_LIST;
+	pull->routes_spread.what = TR_RESOURCE_ROUTES;
+	pull->list_spread.what = TR_RESOURCE_LIST;
 	pull->link.bytes_a_second = e->settings->link_mbps * 1e6 / 8;
 	fetcher_init(&pull->routes, e->loop, e->settings->ip);
 	fetcher_init(&pull->targets, e->loop, e->settings->ip);
--- a/entry/pull.h
+++ b/entry/pull.h
@@ -12,9 +12,10 @@
 	void (*on_new_data)(struct entry *e);
 	struct fetcher routes;
 	struct fetcher targets;
-	struct tr_spread spread;     /* which VM to ask for routes, and when */
-	struct tr_spread first_list; /* the same for the first target list */
-	struct tr_spread_link link;  /* bandwidth for serving other VMs */
+	struct tr_spread
+		routes_spread;	      /* which VM to ask for routes, and when */
+	struct tr_spread list_spread; /* the same for the first target list */
+	struct tr_spread_link link;   /* bandwidth for serving other VMs */
 	apr_time_t targets_asked_at;
 	GBytes *compressed_routes;
 	uint64_t compressed_revision;
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -260,16 +260,17 @@
 static bool should_read(const struct reader *r, apr_time_t now)
 {
 	const struct entry *e = r->e;
-	apr_time_t old = VIEW_STALE;
+	apr_time_t stale_after = VIEW_STALE;
 
 	if (!e->roster.confirmed_at || !e->routes)
 		return should_read_at_start(r, now);
 	if (tr_membership_is_reader(&e->members, now))
 		return true;
-	if (entry_view_age(e) <= old)
+	if (entry_view_age(e) <= stale_after)
 		return false;
-	old += tr_membership_read_rank(&e->members, now) * VIEW_STALE_PER_RANK;
-	return entry_view_age(e) > old;
+	stale_after +=
+		tr_membership_read_rank(&e->members, now) * VIEW_STALE_PER_RANK;
+	return entry_view_age(e) > stale_after;
 }
 
 /* Whether the configuration needs a new proof, which watches without changes
