--- a/entry/mesh.x
+++ b/entry/mesh.x
@@ -60,7 +60,8 @@
 	unsigned int nodes<MESH_MAX_NODES>;
 };
 
-/* A VM of the sender's group that is leaving or can't read the store. */
+/* A VM of the sender's group that is not ready, is leaving or can't read the
+ * store. */
 struct mesh_member {
 	unsigned int ip;
 	unsigned int flags;
