--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -82,7 +82,7 @@
 			 R"("hasMore":true,"asOf":530})"),
 		  0);
 	EXPECT_EQ(p.page.as_of, 530u);
-	EXPECT_TRUE(p.page.more);
+	EXPECT_TRUE(p.page.has_more);
 	ASSERT_EQ(p.page.items->len, 1u);
 	EXPECT_STREQ(p.item(0)->key, "servers/i-1");
 	EXPECT_EQ(p.item(0)->revision, 9u);
@@ -97,7 +97,7 @@
 			 R"("removed":true}],"asOf":11})"),
 		  0);
 	EXPECT_TRUE(p.item(0)->removed);
-	EXPECT_FALSE(p.page.more);
+	EXPECT_FALSE(p.page.has_more);
 }
 
 /*
