--- a/entry/caller.c
+++ b/entry/caller.c
@@ -105,10 +105,10 @@
 
 static void refuse(struct caller *c, int status)
 {
-	struct caller_answer answer = { .status = status, .close = true };
+	struct caller_reply answer = { .status = status, .close = true };
 
 	c->handling = true;
-	caller_answer(c, &answer);
+	caller_reply(c, &answer);
 }
 
 static void timed_out(void *ctx)
@@ -225,7 +225,7 @@
 		linger(c);
 }
 
-static const struct stream_calls stream_calls = {
+static const struct stream_callbacks stream_callbacks = {
 	.received = received,
 	.ended = ended,
 	.drained = drained,
@@ -259,7 +259,7 @@
 }
 
 /* Answer the request that is being handled. The caller may be gone after. */
-void caller_answer(struct caller *c, const struct caller_answer *a)
+void caller_reply(struct caller *c, const struct caller_reply *a)
 {
 	bool close = a->close || c->close_after || c->listener->closing;
 	GString *head = g_string_sized_new(512);
@@ -311,7 +311,7 @@
 	listener->count++;
 	message_init(&c->in, HTTP_REQUEST, listener->limits.header_bytes,
 		     listener->limits.body_bytes);
-	stream_adopt(&c->stream, listener->loop, fd, &stream_calls, c);
+	stream_adopt(&c->stream, listener->loop, fd, &stream_callbacks, c);
 	c->active_at = now_of(c);
 	set_timer(c);
 }
@@ -333,7 +333,7 @@
 
 /* Listen. 0, or -1 with errno. */
 int listener_open(struct listener *listener, struct loop *loop,
-		  const char *address, const struct listener_calls *calls,
+		  const char *address, const struct listener_callbacks *calls,
 		  void *ctx)
 {
 	memset(listener, 0, sizeof(*listener));
--- a/entry/caller.h
+++ b/entry/caller.h
@@ -33,7 +33,7 @@
 };
 
 /* What is done with requests that come through a listener. */
-struct listener_calls {
+struct listener_callbacks {
 	void (*handle)(void *ctx, struct caller *caller);
 	void (*gone)(void *ctx, struct caller *caller);
 };
@@ -42,7 +42,7 @@
 struct listener {
 	struct loop *loop;
 	int fd;
-	const struct listener_calls *calls;
+	const struct listener_callbacks *calls;
 	void *ctx;
 	struct tr_caller_limits limits;
 	struct caller *callers;
@@ -50,7 +50,7 @@
 	bool closing;
 };
 
-struct caller_answer {
+struct caller_reply {
 	int status;
 	const char *headers;
 	const void *body;
@@ -60,12 +60,12 @@
 };
 
 int listener_open(struct listener *listener, struct loop *loop,
-		  const char *address, const struct listener_calls *calls,
+		  const char *address, const struct listener_callbacks *calls,
 		  void *ctx);
 void listener_refuse_new(struct listener *listener);
 void listener_close_idle(struct listener *listener);
 void listener_close(struct listener *listener);
-void caller_answer(struct caller *caller, const struct caller_answer *answer);
+void caller_reply(struct caller *caller, const struct caller_reply *answer);
 const char *status_text(int status);
 
 #endif
--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -23,14 +23,14 @@
 {
 	g_autofree char *headers =
 		g_strdup_printf("Content-Type: %s\r\n", type);
-	struct caller_answer answer = {
+	struct caller_reply answer = {
 		.status = status,
 		.headers = headers,
 		.body = text,
 		.body_len = strlen(text),
 	};
 
-	caller_answer(caller, &answer);
+	caller_reply(caller, &answer);
 }
 
 static bool path_is(const struct caller *caller, const char *path)
@@ -186,6 +186,6 @@
 	g_string_free(text, TRUE);
 }
 
-const struct listener_calls endpoints_directory = { lookup, NULL };
-const struct listener_calls endpoints_readiness = { readiness, NULL };
-const struct listener_calls endpoints_metrics = { metrics, NULL };
+const struct listener_callbacks endpoints_directory = { lookup, NULL };
+const struct listener_callbacks endpoints_readiness = { readiness, NULL };
+const struct listener_callbacks endpoints_metrics = { metrics, NULL };
--- a/entry/endpoints.h
+++ b/entry/endpoints.h
@@ -3,8 +3,8 @@
 
 #include "entry.h"
 
-extern const struct listener_calls endpoints_directory;
-extern const struct listener_calls endpoints_readiness;
-extern const struct listener_calls endpoints_metrics;
+extern const struct listener_callbacks endpoints_directory;
+extern const struct listener_callbacks endpoints_readiness;
+extern const struct listener_callbacks endpoints_metrics;
 
 #endif
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -55,7 +55,7 @@
 
 /* May this VM use callers' keys? Where operators don't ask for a proof it may.
  */
-bool entry_vouches(const struct entry *e)
+bool entry_may_use_keys(const struct entry *e)
 {
 	const struct entry_settings *s = e->settings;
 
@@ -67,7 +67,7 @@
 /* Is this VM ready for callers, whichever way they come? */
 bool entry_takes_callers(const struct entry *e)
 {
-	return e->ready && !e->leaving && entry_vouches(e);
+	return e->ready && !e->leaving && entry_may_use_keys(e);
 }
 
 static void set_limits(struct entry *e, struct tr_organisations *o)
@@ -103,7 +103,7 @@
  * A configuration, from wherever. Only a larger revision, of a larger version,
  * comes into force: what an older reader still tells must not take it back.
  */
-void entry_offer_routes(struct entry *e, const struct store_item *item,
+void entry_apply_routes(struct entry *e, const struct store_item *item,
 			const char *from)
 {
 	struct tr_error err = { 0 };
@@ -160,8 +160,8 @@
 }
 
 /* Take in what is said of a target, by the store or a peer. */
-void entry_target(struct entry *e, const struct tr_target_record *record,
-		  const char *from)
+void entry_apply_target(struct entry *e, const struct tr_target_record *record,
+			const char *from)
 {
 	if (!tr_roster_apply(&e->roster, record, entry_now(e)))
 		return;
@@ -174,13 +174,13 @@
 }
 
 /* One value of the store. True with the record, where it names a target. */
-bool entry_item(struct entry *e, const struct store_item *item,
-		const char *from, struct tr_target_record *record)
+bool entry_apply_item(struct entry *e, const struct store_item *item,
+		      const char *from, struct tr_target_record *record)
 {
 	struct tr_error err = { 0 };
 
 	if (e->dialect->is_routes_key(item->key)) {
-		entry_offer_routes(e, item, from);
+		entry_apply_routes(e, item, from);
 		return false;
 	}
 	if (!e->dialect->is_target_key(item->key))
@@ -189,7 +189,7 @@
 		refuse_target(e, item, record, &err, from);
 		return false;
 	}
-	entry_target(e, record, from);
+	entry_apply_target(e, record, from);
 	return true;
 }
 
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -106,16 +106,16 @@
 	return tr_clock_now(loop_clock(e->loop));
 }
 
-bool entry_item(struct entry *e, const struct store_item *item,
-		const char *from, struct tr_target_record *record);
-void entry_target(struct entry *e, const struct tr_target_record *record,
-		  const char *from);
-void entry_offer_routes(struct entry *e, const struct store_item *item,
+bool entry_apply_item(struct entry *e, const struct store_item *item,
+		      const char *from, struct tr_target_record *record);
+void entry_apply_target(struct entry *e, const struct tr_target_record *record,
+			const char *from);
+void entry_apply_routes(struct entry *e, const struct store_item *item,
 			const char *from);
 bool entry_paused(struct entry *e, apr_time_t now);
 void entry_set_bounds(struct entry *e);
 apr_time_t entry_view_age(const struct entry *e);
-bool entry_vouches(const struct entry *e);
+bool entry_may_use_keys(const struct entry *e);
 bool entry_takes_callers(const struct entry *e);
 struct tr_allowance *entry_allowance(struct entry *e, uint32_t service);
 
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -139,7 +139,7 @@
 	struct tr_placement p;
 
 	/* The proof may have ended while the request waited. */
-	if (x->keyed && !entry_vouches(x->e))
+	if (x->keyed && !entry_may_use_keys(x->e))
 		return "unproven";
 	verdict = exchange_fatal_admit(x);
 	if (verdict == TR_FATAL_REFUSE) {
--- a/entry/exchange.h
+++ b/entry/exchange.h
@@ -3,7 +3,7 @@
 
 #include "entry.h"
 
-extern const struct listener_calls exchange_listener;
+extern const struct listener_callbacks exchange_listener;
 
 void exchange_serve_held(struct entry *e);
 void exchange_fatal_log(const struct entry *e, uint64_t identity,
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -37,14 +37,14 @@
  * back, 0 that coming back is of no use. */
 void exchange_refuse(struct caller *caller, int status, apr_time_t after)
 {
-	struct caller_answer answer = { .status = status };
+	struct caller_reply answer = { .status = status };
 	char headers[64];
 
 	snprintf(headers, sizeof(headers), "Retry-After: %.3f\r\n",
 		 (double)after / 1e6);
 	if (after)
 		answer.headers = headers;
-	caller_answer(caller, &answer);
+	caller_reply(caller, &answer);
 }
 
 static void refuse(struct caller *caller, int status)
@@ -233,7 +233,7 @@
 	entry_paused(e, now);
 	if (e->routes && e->routes->organisations && now < e->settles_at)
 		return true;
-	if (!e->routes || !e->roster.confirmed_at || !entry_vouches(e))
+	if (!e->routes || !e->roster.confirmed_at || !entry_may_use_keys(e))
 		return now - e->started_at < HELD_AT_START ||
 		       now < e->hold_until;
 	return now < e->hold_until && entry_view_age(e) > HELD_AGE;
@@ -283,4 +283,4 @@
 	}
 }
 
-const struct listener_calls exchange_listener = { handle, gone };
+const struct listener_callbacks exchange_listener = { handle, gone };
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -87,7 +87,7 @@
 		tr_organisations_find(all, message_header(&caller->in, name));
 	if (route->is_public)
 		return true;
-	if (!entry_vouches(e) || (!*organisation && exchange_is_late(e))) {
+	if (!entry_may_use_keys(e) || (!*organisation && exchange_is_late(e))) {
 		e->counts.unproven++;
 		log_refused(e, caller, 503, "unproven", "-");
 		exchange_refuse(caller, 503, UNPROVEN_RETURN);
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -130,7 +130,7 @@
 /* Answer for this VM itself. 503 says when to come back. */
 void exchange_answer_own(struct exchange *x, int status, const char *why)
 {
-	struct caller_answer answer = { .status = status };
+	struct caller_reply answer = { .status = status };
 	struct entry *e = x->e;
 	struct caller *caller = x->caller;
 	GString *headers = g_string_new(NULL);
@@ -161,7 +161,7 @@
 	answer.headers = headers->str;
 	exchange_settle(x);
 	if (caller)
-		caller_answer(caller, &answer);
+		caller_reply(caller, &answer);
 	g_string_free(headers, TRUE);
 }
 
@@ -187,7 +187,7 @@
 	int status = msg->parser.status_code;
 	struct caller *caller = x->caller;
 	GString *headers = g_string_sized_new(256);
-	struct caller_answer answer = {
+	struct caller_reply answer = {
 		.status = status,
 		.body = msg->body->data,
 		.body_len = msg->body->len,
@@ -205,7 +205,7 @@
 	answer.headers = headers->str;
 	exchange_settle(x);
 	if (caller)
-		caller_answer(caller, &answer);
+		caller_reply(caller, &answer);
 	g_string_free(headers, TRUE);
 }
 
--- a/entry/fetch.c
+++ b/entry/fetch.c
@@ -73,7 +73,7 @@
 		finish_request(f, NULL);
 }
 
-static const struct stream_calls calls = {
+static const struct stream_callbacks calls = {
 	.received = received,
 	.ended = ended,
 };
--- a/entry/kept.c
+++ b/entry/kept.c
@@ -72,7 +72,7 @@
 	remove_stream(ctx);
 }
 
-static const struct stream_calls idle_calls = {
+static const struct stream_callbacks idle_calls = {
 	.received = received,
 	.ended = ended,
 };
@@ -122,7 +122,7 @@
 /* Takes the target's most recently used connection out of the pool, if one
  * is fresh enough. idle is set to how long it has been idle, in us. */
 bool conn_pool_get(struct entry *e, uint32_t row, uint32_t hash,
-		   struct stream *stream, const struct stream_calls *calls,
+		   struct stream *stream, const struct stream_callbacks *calls,
 		   void *ctx, apr_time_t *idle)
 {
 	apr_time_t now = entry_now(e);
--- a/entry/kept.h
+++ b/entry/kept.h
@@ -18,7 +18,7 @@
 void conn_pool_put(struct entry *e, struct stream *stream, uint32_t row,
 		   uint32_t hash, apr_time_t idle_timeout);
 bool conn_pool_get(struct entry *e, uint32_t row, uint32_t hash,
-		   struct stream *stream, const struct stream_calls *calls,
+		   struct stream *stream, const struct stream_callbacks *calls,
 		   void *ctx, apr_time_t *idle);
 void conn_pool_report_dead(struct entry *e, apr_time_t idle);
 void conn_pool_expire(struct entry *e);
--- a/entry/mesh_changes.c
+++ b/entry/mesh_changes.c
@@ -102,7 +102,7 @@
 	strncpy(r.service, in->service, TR_ID_MAX);
 	strncpy(r.address, in->address, TR_ADDRESS_MAX);
 	strncpy(r.data_centre, in->data_centre, TR_ID_MAX);
-	entry_target(mesh->e, &r, "peer");
+	entry_apply_target(mesh->e, &r, "peer");
 }
 
 /* Unknown targets are skipped; they come with the list that is pulled. */
@@ -118,7 +118,7 @@
 	r.leaving = in->flags & RECORD_LEAVING;
 	r.gone = in->flags & RECORD_GONE;
 	r.revision = in->revision;
-	entry_target(e, &r, "peer");
+	entry_apply_target(e, &r, "peer");
 }
 
 /* Handles changes of the target list. */
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -78,7 +78,7 @@
 	if (text) {
 		item.value = text;
 		item.revision = header_number(answer, HEADER_REVISION);
-		entry_offer_routes(e, &item, "peer");
+		entry_apply_routes(e, &item, "peer");
 	}
 	if (e->routes && e->routes->revision > before) {
 		/* Others of the group can now fetch it here. */
@@ -285,7 +285,7 @@
 static void send_compressed(struct pull *pull, struct caller *caller,
 			    GBytes *bytes, const char *headers)
 {
-	struct caller_answer answer = { .status = 503, .close = true };
+	struct caller_reply answer = { .status = 503, .close = true };
 
 	if (bytes &&
 	    tr_spread_link_reserve(&pull->link, g_bytes_get_size(bytes),
@@ -295,7 +295,7 @@
 		answer.body = g_bytes_get_data(bytes, &answer.body_len);
 		answer.close = false;
 	}
-	caller_answer(caller, &answer);
+	caller_reply(caller, &answer);
 }
 
 static void send_routes(struct pull *pull, struct caller *caller)
@@ -347,17 +347,17 @@
 {
 	struct pull *pull = ctx;
 	const char *path = message_target(&caller->in);
-	struct caller_answer answer = { .status = 404 };
+	struct caller_reply answer = { .status = 404 };
 
 	if (!strcmp(path, ROUTES_PATH) && pull->e->routes)
 		send_routes(pull, caller);
 	else if (!strcmp(path, TARGETS_PATH))
 		send_targets(pull, caller);
 	else
-		caller_answer(caller, &answer);
+		caller_reply(caller, &answer);
 }
 
-static const struct listener_calls calls = { .handle = handle };
+static const struct listener_callbacks calls = { .handle = handle };
 
 /* Serves peers on the address. Returns 0, or -1 with errno set. */
 int pull_open(struct pull *pull, struct entry *e, const char *address,
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -127,7 +127,8 @@
 			&g_array_index(page->items, struct store_item, i);
 		struct tr_target_record record;
 
-		if (entry_item(r->e, item, "store", &record) && r->listing)
+		if (entry_apply_item(r->e, item, "store", &record) &&
+		    r->listing)
 			g_array_append_val(r->records, record);
 	}
 }
--- a/entry/stream.c
+++ b/entry/stream.c
@@ -70,7 +70,7 @@
 
 static void end(struct stream *s, enum stream_end why)
 {
-	const struct stream_calls *calls = s->calls;
+	const struct stream_callbacks *calls = s->calls;
 	void *ctx = s->ctx;
 
 	stream_close(s);
@@ -176,7 +176,7 @@
 }
 
 static int start(struct stream *s, struct loop *loop, int fd,
-		 const struct stream_calls *calls, void *ctx)
+		 const struct stream_callbacks *calls, void *ctx)
 {
 	memset(s, 0, sizeof(*s));
 	s->loop = loop;
@@ -192,7 +192,7 @@
  * says whether nobody listens there. */
 int stream_connect(struct stream *s, struct loop *loop,
 		   const struct sockaddr_in *to, const char *from_ip,
-		   const struct stream_calls *calls, void *ctx)
+		   const struct stream_callbacks *calls, void *ctx)
 {
 	struct sockaddr_in from = { .sin_family = AF_INET };
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -220,7 +220,7 @@
 
 /* Take over a socket that was accepted. */
 int stream_adopt(struct stream *s, struct loop *loop, int fd,
-		 const struct stream_calls *calls, void *ctx)
+		 const struct stream_callbacks *calls, void *ctx)
 {
 	start(s, loop, fd, calls, ctx);
 	watch(s);
@@ -252,7 +252,7 @@
 /* Hand the connection on to another owner. from is as if it had been closed.
  */
 void stream_move(struct stream *to, struct stream *from,
-		 const struct stream_calls *calls, void *ctx)
+		 const struct stream_callbacks *calls, void *ctx)
 {
 	loop_unwatch(from->loop, from->fd);
 	*to = *from;
--- a/entry/stream.h
+++ b/entry/stream.h
@@ -14,7 +14,7 @@
 	STREAM_UNREACHED,
 };
 
-struct stream_calls {
+struct stream_callbacks {
 	void (*connected)(void *ctx);
 	void (*received)(void *ctx, const char *data, size_t len);
 	void (*ended)(void *ctx, enum stream_end why);
@@ -25,7 +25,7 @@
  * of its calls comes after stream_close. */
 struct stream {
 	struct loop *loop;
-	const struct stream_calls *calls;
+	const struct stream_callbacks *calls;
 	void *ctx;
 	int fd;
 	bool connecting;
@@ -38,14 +38,14 @@
 
 int stream_connect(struct stream *s, struct loop *loop,
 		   const struct sockaddr_in *to, const char *from_ip,
-		   const struct stream_calls *calls, void *ctx);
+		   const struct stream_callbacks *calls, void *ctx);
 int stream_adopt(struct stream *s, struct loop *loop, int fd,
-		 const struct stream_calls *calls, void *ctx);
+		 const struct stream_callbacks *calls, void *ctx);
 void stream_write(struct stream *s, const void *data, size_t len);
 bool stream_is_drained(const struct stream *s);
 void stream_resume(struct stream *s);
 void stream_move(struct stream *to, struct stream *from,
-		 const struct stream_calls *calls, void *ctx);
+		 const struct stream_callbacks *calls, void *ctx);
 void stream_close(struct stream *s);
 int stream_parse_address(const char *text, struct sockaddr_in *addr);
 int stream_listen(const char *address);
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -144,7 +144,7 @@
 /* A VM that may no longer use callers' keys is named to none, and says so. */
 static void look_at_proof(struct entry *e)
 {
-	bool takes = e->ready && entry_vouches(e);
+	bool takes = e->ready && entry_may_use_keys(e);
 	apr_time_t age = tr_proof_age(&e->proof, entry_now(e));
 
 	if (takes == e->members.nodes[0].ready)
@@ -211,7 +211,7 @@
 
 static int open_listener(struct daemon *d, struct listener *listener,
 			 const char *field, const char *address,
-			 const struct listener_calls *calls,
+			 const struct listener_callbacks *calls,
 			 struct tr_error *err)
 {
 	if (!listener_open(listener, d->e.loop, address, calls, &d->e))
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -276,9 +276,9 @@
 	return u->connected || u->begun_again;
 }
 
-static int connect_to(struct upstream *u, const struct stream_calls *calls);
+static int connect_to(struct upstream *u, const struct stream_callbacks *calls);
 
-static const struct stream_calls calls;
+static const struct stream_callbacks calls;
 
 static double heard(const struct entry *e)
 {
@@ -338,7 +338,7 @@
 	over(u, UPSTREAM_BROKEN);
 }
 
-static const struct stream_calls check_calls = {
+static const struct stream_callbacks check_calls = {
 	.connected = check_connected,
 	.ended = check_ended,
 };
@@ -412,13 +412,13 @@
 	send_it(ctx);
 }
 
-static const struct stream_calls calls = {
+static const struct stream_callbacks calls = {
 	.connected = connected,
 	.received = received,
 	.ended = ended,
 };
 
-static int connect_to(struct upstream *u, const struct stream_calls *with)
+static int connect_to(struct upstream *u, const struct stream_callbacks *with)
 {
 	const struct tr_instance *row = &u->e->roster.rows[u->row];
 	struct sockaddr_in to;
