--- a/entry/entry.c
+++ b/entry/entry.c
@@ -142,9 +142,9 @@
 	if (*record->id)
 		tr_roster_reject_entry(&e->roster, record->id, item->revision,
 				       now);
-	if (!tr_pacer_allows(&e->refusal_lines, REFUSAL_LINES_A_S, now))
+	if (!tr_pacer_allows(&e->refusal_log_limiter, REFUSAL_LINES_A_S, now))
 		return;
-	tr_pacer_consume(&e->refusal_lines, 1);
+	tr_pacer_consume(&e->refusal_log_limiter, 1);
 	eventlog(EVENT_FAILURE, "target-refused",
 		 "key=%s revision=%" G_GUINT64_FORMAT
 		 " field=%s expected=\"%s\" from=%s refused=%" G_GUINT64_FORMAT,
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -96,8 +96,8 @@
 	struct exchange *exchanges;
 	unsigned exchanges_count;
 	struct entry_counts counts;
-	struct tr_pacer refusal_lines;
-	struct tr_pacer notice_lines;
+	struct tr_pacer refusal_log_limiter;
+	struct tr_pacer notice_log_limiter;
 	GArray *times;
 };
 
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -17,9 +17,9 @@
 	apr_time_t now = entry_now(e);
 
 	e->counts.notices_refused++;
-	if (!tr_pacer_allows(&e->notice_lines, REFUSAL_LINES_A_S, now))
+	if (!tr_pacer_allows(&e->notice_log_limiter, REFUSAL_LINES_A_S, now))
 		return;
-	tr_pacer_consume(&e->notice_lines, 1);
+	tr_pacer_consume(&e->notice_log_limiter, 1);
 	eventlog(EVENT_FAILURE, "notice-refused",
 		 "id=%s field=%s expected=\"%s\" refused=%" G_GUINT64_FORMAT,
 		 row->id, field, expected, (guint64)e->counts.notices_refused);
