--- a/entry/caller.c
+++ b/entry/caller.c
@@ -9,16 +9,20 @@
 
 #include "clock.h"
 
-/* Bytes of further requests that are read ahead while one is handled; then the
- * connection is left unread until it is answered. */
-#define BEHIND_MOST 65536
-/* Connections taken at one wake-up, so that others get their turn. */
-#define ACCEPTS 64
-/* Time for the peer to close after the last answer: a few round trips. */
-#define LINGER TR_MSEC(500)
-
-/* Limits until a configuration says others. */
-static const struct tr_caller_limits first_limits = {
+/*
+ * Pipelined bytes that are buffered while a request is handled. Beyond this,
+ * the connection is not read until the request is answered.
+ */
+#define MAX_PIPELINED_BYTES 65536
+/*
+ * Connections accepted per wake-up, so that other descriptors get their turn.
+ */
+#define MAX_ACCEPTS_PER_WAKEUP 64
+/* Time for the peer to close after the last reply: a few round trips. */
+#define LINGER_TIMEOUT TR_MSEC(500)
+
+/* In force until a configuration sets limits. */
+static const struct tr_caller_limits default_limits = {
 	.header_bytes = 16384,
 	.body_bytes = 1048576,
 	.header_timeout = TR_SEC(5),
@@ -30,6 +34,7 @@
 	return tr_clock_now(loop_clock(c->listener->loop));
 }
 
+/* Returns the reason phrase of an HTTP status. */
 const char *status_text(int status)
 {
 	const char *text = http_status_str((enum http_status)status);
@@ -48,62 +53,73 @@
 	c->listener->count--;
 }
 
+/*
+ * Frees the connection. While received() still uses it, the free is deferred
+ * to the end of that callback.
+ */
 static void free_caller(struct caller *c)
 {
-	if (c->feeding) {
-		c->dead = true;
+	if (c->parsing) {
+		c->free_pending = true;
 		return;
 	}
 	loop_cancel(c->listener->loop, c->timer);
 	stream_close(&c->stream);
 	unlink_caller(c);
 	message_free(&c->in);
-	if (c->behind)
-		g_byte_array_free(c->behind, TRUE);
+	if (c->pipelined)
+		g_byte_array_free(c->pipelined, TRUE);
 	free(c);
 }
 
-static void hang_up(struct caller *c)
+/* Frees the connection and tells the request handler if one was at work. */
+static void drop_caller(struct caller *c)
 {
 	bool handling = c->handling;
 
 	c->handling = false;
-	if (handling && c->listener->calls->gone)
-		c->listener->calls->gone(c->listener->ctx, c);
+	if (handling && c->listener->calls->disconnected)
+		c->listener->calls->disconnected(c->listener->ctx, c);
 	free_caller(c);
 }
 
-static apr_time_t closes_at(const struct caller *c)
+/*
+ * Returns when the connection times out: lingering, reading a request head, or
+ * idle.
+ */
+static apr_time_t timeout_at(const struct caller *c)
 {
 	const struct tr_caller_limits *limits = &c->listener->limits;
 
 	if (c->lingering)
-		return c->active_at + LINGER;
+		return c->last_active_at + LINGER_TIMEOUT;
 	if (c->in.begun && !c->in.head_done)
-		return c->began_at + limits->header_timeout;
-	return c->active_at + limits->idle_timeout;
+		return c->request_began_at + limits->header_timeout;
+	return c->last_active_at + limits->idle_timeout;
 }
 
-static void timed_out(void *ctx);
+static void on_timeout(void *ctx);
 
 /*
- * The timer is left as it is while it fires early enough: most move later with
- * each request. A head that begins on an idle connection moves it earlier.
+ * Arms the timer for timeout_at(). A timer that fires earlier is left alone and
+ * rearms itself, because each request moves the timeout later. Only a request
+ * head that begins on an idle connection moves it earlier.
  */
 static void set_timer(struct caller *c)
 {
-	apr_time_t at = closes_at(c);
+	apr_time_t at = timeout_at(c);
 	apr_time_t left = at - now_of(c);
 
-	if (c->timer && c->timer_at <= at)
+	if (c->timer && c->timer_due <= at)
 		return;
 	loop_cancel(c->listener->loop, c->timer);
-	c->timer_at = at;
-	c->timer = loop_after(c->listener->loop, left > 0 ? left : 0, timed_out,
-			      c);
+	c->timer_due = at;
+	c->timer = loop_after(c->listener->loop, left > 0 ? left : 0,
+			      on_timeout, c);
 }
 
-static void refuse(struct caller *c, int status)
+/* Answers the request with an error status and closes the connection. */
+static void reject(struct caller *c, int status)
 {
 	struct caller_reply answer = { .status = status, .close = true };
 
@@ -111,58 +127,63 @@
 	caller_reply(c, &answer);
 }
 
-static void timed_out(void *ctx)
+static void on_timeout(void *ctx)
 {
 	struct caller *c = ctx;
 
 	c->timer = NULL;
-	if (c->handling || now_of(c) < closes_at(c)) {
+	if (c->handling || now_of(c) < timeout_at(c)) {
 		if (c->handling)
-			c->active_at = now_of(c);
+			c->last_active_at = now_of(c);
 		set_timer(c);
 		return;
 	}
-	/* A request that was begun is told why; an idle end needs no word. */
+	/* A partial request gets 408; an idle connection is just closed. */
 	if (c->in.begun && !c->lingering)
-		refuse(c, 408);
+		reject(c, 408);
 	else
 		free_caller(c);
 }
 
-static void say_continue(struct caller *c)
+/* Sends 100 Continue, once per request, if the client expects it. */
+static void send_continue(struct caller *c)
 {
 	static const char text[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	const char *expect = message_header(&c->in, "Expect");
 
-	if (c->said_continue || !expect || strcasecmp(expect, "100-continue"))
+	if (c->continue_sent || !expect || strcasecmp(expect, "100-continue"))
 		return;
-	c->said_continue = true;
+	c->continue_sent = true;
 	stream_write(&c->stream, text, sizeof(text) - 1);
 }
 
-static int why_wrong(const struct caller *c)
+/* Returns the status for a request that the parser refused. */
+static int parse_error_status(const struct caller *c)
 {
-	if (c->in.too_long_head)
+	if (c->in.head_too_long)
 		return 431;
-	return c->in.too_long_body ? 413 : 400;
+	return c->in.body_too_long ? 413 : 400;
 }
 
-/* The bytes go to the request that is read; true when that is whole. */
-static bool feed(struct caller *c, const char *data, size_t len, size_t *used)
+/*
+ * Parses received bytes and stores in used how many belong to this request.
+ * Returns true when the request is complete.
+ */
+static bool parse(struct caller *c, const char *data, size_t len, size_t *used)
 {
 	ssize_t n;
 
 	if (!c->in.begun)
-		c->began_at = now_of(c);
+		c->request_began_at = now_of(c);
 	n = message_feed(&c->in, data, len);
 	if (n < 0) {
-		refuse(c, why_wrong(c));
+		reject(c, parse_error_status(c));
 		*used = len;
 		return false;
 	}
 	*used = (size_t)n;
 	if (c->in.head_done && !c->in.complete)
-		say_continue(c);
+		send_continue(c);
 	return c->in.complete;
 }
 
@@ -173,14 +194,18 @@
 	c->listener->calls->handle(c->listener->ctx, c);
 }
 
-static void keep_behind(struct caller *c, const char *data, size_t len)
+/*
+ * Buffers bytes that follow the current request. Stops reading from the
+ * connection when the buffer exceeds its limit.
+ */
+static void save_pipelined(struct caller *c, const char *data, size_t len)
 {
 	if (!len)
 		return;
-	if (!c->behind)
-		c->behind = g_byte_array_new();
-	g_byte_array_append(c->behind, (const guint8 *)data, (guint)len);
-	if (c->behind->len > BEHIND_MOST)
+	if (!c->pipelined)
+		c->pipelined = g_byte_array_new();
+	g_byte_array_append(c->pipelined, (const guint8 *)data, (guint)len);
+	if (c->pipelined->len > MAX_PIPELINED_BYTES)
 		loop_unwatch(c->listener->loop, c->stream.fd);
 }
 
@@ -189,32 +214,32 @@
 	struct caller *c = ctx;
 	size_t used = 0;
 
-	c->active_at = now_of(c);
+	c->last_active_at = now_of(c);
 	if (c->lingering || (c->close_after && !c->handling))
 		return;
-	/* What waits behind the last request comes first. */
-	if (c->handling || c->behind) {
-		keep_behind(c, data, len);
+	/* Bytes that were buffered earlier come first. */
+	if (c->handling || c->pipelined) {
+		save_pipelined(c, data, len);
 		return;
 	}
-	c->feeding = true;
-	if (feed(c, data, len, &used)) {
-		keep_behind(c, data + used, len - used);
+	c->parsing = true;
+	if (parse(c, data, len, &used)) {
+		save_pipelined(c, data + used, len - used);
 		handle(c);
 	}
-	c->feeding = false;
-	if (c->dead)
+	c->parsing = false;
+	if (c->free_pending)
 		free_caller(c);
 	else
 		set_timer(c);
 }
 
-static void linger(struct caller *c);
+static void begin_linger(struct caller *c);
 
 static void ended(void *ctx, enum stream_end why)
 {
 	(void)why;
-	hang_up(ctx);
+	drop_caller(ctx);
 }
 
 static void drained(void *ctx)
@@ -222,7 +247,7 @@
 	struct caller *c = ctx;
 
 	if (c->close_after && !c->handling && !c->lingering)
-		linger(c);
+		begin_linger(c);
 }
 
 static const struct stream_callbacks stream_callbacks = {
@@ -231,25 +256,26 @@
 	.drained = drained,
 };
 
-/* Go on with what came behind the request that was answered. */
-static void serve_behind(void *ctx)
+/* Processes the buffered bytes that followed the request just answered. */
+static void serve_pipelined(void *ctx)
 {
 	struct caller *c = ctx;
-	GByteArray *behind = c->behind;
+	GByteArray *pipelined = c->pipelined;
 
 	c->timer = NULL;
-	c->behind = NULL;
-	if (behind->len > BEHIND_MOST)
+	c->pipelined = NULL;
+	if (pipelined->len > MAX_PIPELINED_BYTES)
 		stream_resume(&c->stream);
-	received(c, (const char *)behind->data, behind->len);
-	g_byte_array_free(behind, TRUE);
+	received(c, (const char *)pipelined->data, pipelined->len);
+	g_byte_array_free(pipelined, TRUE);
 }
 
 /*
- * Nothing more will be sent. The peer closes first, where it will: closing
- * with bytes unread would reset the connection, and the answer could be lost.
+ * Shuts down the sending side and waits for the peer to close. Closing with
+ * unread bytes in the receive buffer would send a reset, and the reply could be
+ * lost.
  */
-static void linger(struct caller *c)
+static void begin_linger(struct caller *c)
 {
 	c->lingering = true;
 	shutdown(c->stream.fd, SHUT_WR);
@@ -258,7 +284,10 @@
 	set_timer(c);
 }
 
-/* Answer the request that is being handled. The caller may be gone after. */
+/*
+ * Sends the reply to the request being handled. The connection may be freed by
+ * the time this returns.
+ */
 void caller_reply(struct caller *c, const struct caller_reply *a)
 {
 	bool close = a->close || c->close_after || c->listener->closing;
@@ -280,22 +309,23 @@
 	g_string_free(head, TRUE);
 	c->handling = false;
 	c->close_after = close;
-	c->active_at = now_of(c);
+	c->last_active_at = now_of(c);
 	message_reset(&c->in);
-	c->said_continue = false;
+	c->continue_sent = false;
 	if (close) {
 		if (stream_is_drained(&c->stream))
-			linger(c);
+			begin_linger(c);
 		return;
 	}
-	if (!c->behind)
+	if (!c->pipelined)
 		return;
 	loop_cancel(c->listener->loop, c->timer);
-	c->timer_at = c->active_at;
-	c->timer = loop_after(c->listener->loop, 0, serve_behind, c);
+	c->timer_due = c->last_active_at;
+	c->timer = loop_after(c->listener->loop, 0, serve_pipelined, c);
 }
 
-static void take(struct listener *listener, int fd)
+/* Starts to serve an accepted connection. Closes it when out of memory. */
+static void accept_caller(struct listener *listener, int fd)
 {
 	struct caller *c = calloc(1, sizeof(*c));
 
@@ -312,26 +342,29 @@
 	message_init(&c->in, HTTP_REQUEST, listener->limits.header_bytes,
 		     listener->limits.body_bytes);
 	stream_adopt(&c->stream, listener->loop, fd, &stream_callbacks, c);
-	c->active_at = now_of(c);
+	c->last_active_at = now_of(c);
 	set_timer(c);
 }
 
-static void arrivals(void *ctx, int fd, int events)
+static void on_readable(void *ctx, int fd, int events)
 {
 	struct listener *listener = ctx;
 
 	(void)events;
-	for (int i = 0; i < ACCEPTS; i++) {
+	for (int i = 0; i < MAX_ACCEPTS_PER_WAKEUP; i++) {
 		int conn =
 			accept4(fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 
 		if (conn < 0)
 			return;
-		take(listener, conn);
+		accept_caller(listener, conn);
 	}
 }
 
-/* Listen. 0, or -1 with errno. */
+/*
+ * Opens a listening socket at address, which is IP:PORT. Returns 0, or -1 with
+ * errno set.
+ */
 int listener_open(struct listener *listener, struct loop *loop,
 		  const char *address, const struct listener_callbacks *calls,
 		  void *ctx)
@@ -340,15 +373,15 @@
 	listener->loop = loop;
 	listener->calls = calls;
 	listener->ctx = ctx;
-	listener->limits = first_limits;
+	listener->limits = default_limits;
 	listener->fd = stream_listen(address);
 	if (listener->fd < 0)
 		return -1;
-	return loop_watch(loop, listener->fd, LOOP_READ, arrivals, listener);
+	return loop_watch(loop, listener->fd, LOOP_READ, on_readable, listener);
 }
 
-/* Take no new connections from here on. */
-void listener_refuse_new(struct listener *listener)
+/* Closes the listening socket. Open connections are served on. */
+void listener_stop_accepting(struct listener *listener)
 {
 	if (listener->fd < 0)
 		return;
@@ -357,21 +390,22 @@
 	listener->fd = -1;
 }
 
-/* Close the connections that wait for a request. */
+/* Closes the connections on which no request has begun. */
 void listener_close_idle(struct listener *listener)
 {
 	struct caller *next;
 
 	for (struct caller *c = listener->callers; c; c = next) {
 		next = c->next;
-		if (!c->handling && !c->in.begun && !c->behind)
+		if (!c->handling && !c->in.begun && !c->pipelined)
 			free_caller(c);
 	}
 }
 
+/* Closes the listener and all its connections. */
 void listener_close(struct listener *listener)
 {
-	listener_refuse_new(listener);
+	listener_stop_accepting(listener);
 	while (listener->callers)
-		hang_up(listener->callers);
+		drop_caller(listener->callers);
 }
--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -172,8 +172,7 @@
 		{ "targets_limited", e->roster.limits.active_count },
 		{ "notices_refused_total", c->notices_refused },
 		{ "proof_age_ms", mesh_proof_age(e) },
-		{ "log_lines_left_out_total",
-		  eventlog_left_out(EVENT_REQUEST) },
+		{ "log_lines_left_out_total", eventlog_dropped(EVENT_REQUEST) },
 	};
 	GString *text = g_string_new(NULL);
 
--- a/entry/entry.c
+++ b/entry/entry.c
@@ -20,7 +20,7 @@
 #define REFUSAL_LINES_A_S 2
 
 /* Has the process stood still since the loop's last step? */
-bool entry_paused(struct entry *e, apr_time_t now)
+bool entry_check_pause(struct entry *e, apr_time_t now)
 {
 	if (!e->stepped_at || now - e->stepped_at <= PAUSED)
 		return false;
@@ -29,7 +29,7 @@
 }
 
 /* Take over the bounds of the settings. */
-void entry_set_bounds(struct entry *e)
+void entry_apply_bounds(struct entry *e)
 {
 	const struct entry_settings *s = e->settings;
 
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -75,18 +75,18 @@
 	struct tr_fatals fatals;
 	struct kept kept;
 	uint64_t refused_revision;
-	double draw;
+	double split_position;
 	bool leaving;
 	bool ready;
 	apr_time_t stepped_at;
-	apr_time_t idle_looked_at;
-	apr_time_t floors_looked_at;
-	apr_time_t repeats_looked_at;
+	apr_time_t idle_checked_at;
+	apr_time_t floors_logged_at;
+	apr_time_t repeats_logged_at;
 	apr_time_t hold_until;
 	apr_time_t started_at;
 	apr_time_t repeats_known_since;
-	apr_time_t settles_at;
-	GPtrArray *held;
+	apr_time_t limits_settle_at;
+	GPtrArray *held_callers;
 	struct mesh *mesh;
 	struct reader *reader;
 	struct listener front;
@@ -112,8 +112,8 @@
 			const char *from);
 void entry_apply_routes(struct entry *e, const struct store_item *item,
 			const char *from);
-bool entry_paused(struct entry *e, apr_time_t now);
-void entry_set_bounds(struct entry *e);
+bool entry_check_pause(struct entry *e, apr_time_t now);
+void entry_apply_bounds(struct entry *e);
 apr_time_t entry_view_age(const struct entry *e);
 bool entry_may_use_keys(const struct entry *e);
 bool entry_takes_callers(const struct entry *e);
--- a/entry/eventlog.c
+++ b/entry/eventlog.c
@@ -80,7 +80,7 @@
 	put(line, (size_t)n);
 }
 
-uint64_t eventlog_left_out(enum event_class class)
+uint64_t eventlog_dropped(enum event_class class)
 {
 	return state.left_out[class];
 }
--- a/entry/eventlog.h
+++ b/entry/eventlog.h
@@ -16,6 +16,6 @@
 void eventlog(enum event_class class, const char *event, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 void eventlog_flush(void);
-uint64_t eventlog_left_out(enum event_class class);
+uint64_t eventlog_dropped(enum event_class class);
 
 #endif
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -33,7 +33,7 @@
 			 const struct tr_instance *row)
 {
 	const struct dialect *d = x->e->dialect;
-	apr_time_t left = x->ends_at - entry_now(x->e);
+	apr_time_t left = x->deadline - entry_now(x->e);
 	GString *head = g_string_new_len(x->head->str, (gssize)x->head->len);
 
 	g_string_append_printf(head, "%s: %ld\r\n%s: %s\r\n\r\n",
@@ -45,9 +45,9 @@
 
 static struct upstream *free_try(struct exchange *x)
 {
-	for (int i = 0; i < TRIES; i++)
-		if (!x->tries[i].active)
-			return &x->tries[i];
+	for (int i = 0; i < MAX_UPSTREAMS; i++)
+		if (!x->upstreams[i].active)
+			return &x->upstreams[i];
 	return NULL;
 }
 
@@ -60,14 +60,14 @@
 	enum tr_place_result res;
 	struct tr_place_request req = {
 		.service = x->service,
-		.expected_work = exchange_usual(x),
+		.expected_work = exchange_typical_latency(x),
 		.spread = tr_service_stats_spread(svc),
 		.failure_age = tr_service_stats_failure_age(svc, aim),
 		.standing_queue = svc->standing_queue,
 		.may_repeat = x->route->kind == TR_KIND_SAFE &&
 			      x->runs + 1 < x->route->attempts,
 		.aim_left = x->arrived + aim - now,
-		.time_left = x->ends_at - now,
+		.time_left = x->deadline - now,
 		.data_centre = e->members.nodes[0].data_centre,
 		.tried = x->tried,
 		.tried_count = x->tried_count,
@@ -77,7 +77,7 @@
 		.request_rate =
 			tr_allowance_rate(entry_allowance(x->e, x->service),
 					  &e->repeat_bound, now),
-		.heard = exchange_heard(x),
+		.heard = exchange_heard_share(x),
 	};
 
 	req.turns.rank = tr_membership_rank(&e->members, now, &req.turns.vms);
@@ -106,16 +106,16 @@
 		.head = head_for(x, row),
 		.body = x->body,
 		.head_only = !strcmp(x->method, "HEAD"),
-		.expected = exchange_usual(x) + p->wait,
+		.expected = exchange_typical_latency(x) + p->wait,
 		.spread = spread_at(x, p),
 		.queued = p->wait > 0,
 		.keeps = x->keeps,
-		.ends_known = tr_fatal_count_ends(&e->fatals, x->identity),
+		.known_exits = tr_fatal_count_ends(&e->fatals, x->identity),
 	};
 	int res;
 
 	if (row->cold_until > entry_now(e))
-		request.expected += exchange_usual(x);
+		request.expected += exchange_typical_latency(x);
 	x->risk[x->tried_count] = p->risk;
 	x->in_flight[x->tried_count] = row->in_flight + row->others_in_flight;
 	x->tried[x->tried_count++] = p->row;
@@ -139,20 +139,20 @@
 	struct tr_placement p;
 
 	/* The proof may have ended while the request waited. */
-	if (x->keyed && !entry_may_use_keys(x->e))
+	if (x->needs_key && !entry_may_use_keys(x->e))
 		return "unproven";
 	verdict = exchange_fatal_admit(x);
 	if (verdict == TR_FATAL_REFUSE) {
-		x->return_after = tr_fatal_retry_after(
+		x->retry_after = tr_fatal_retry_after(
 			&x->e->fatals, x->identity, entry_now(x->e));
 		return "crashes-targets";
 	}
-	x->waits = verdict == TR_FATAL_WAIT;
-	if (x->waits) {
+	x->waiting = verdict == TR_FATAL_WAIT;
+	if (x->waiting) {
 		set_timer(x);
 		return NULL;
 	}
-	while (x->tried_count < TRIED_MOST) {
+	while (x->tried_count < MAX_TRIED_TARGETS) {
 		enum tr_place_result res = choose(x, &p);
 
 		if (res != TR_PLACE_FOUND)
@@ -170,13 +170,13 @@
 {
 	struct entry *e = x->e;
 
-	if (x->done || x->tried_count >= TRIED_MOST || !free_try(x) ||
-	    x->ends_at - entry_now(e) < exchange_usual(x) / 2 ||
+	if (x->done || x->tried_count >= MAX_TRIED_TARGETS || !free_try(x) ||
+	    x->deadline - entry_now(e) < exchange_typical_latency(x) / 2 ||
 	    !tr_fatal_may_repeat(&e->fatals, x->identity))
 		return false;
 	if (repeat_admit(e, x->service))
 		return true;
-	x->bound_reached = true;
+	x->budget_exhausted = true;
 	return false;
 }
 
@@ -214,9 +214,9 @@
 {
 	bool any = x->maybe_ran;
 
-	for (int i = 0; i < TRIES; i++)
-		any |= x->tries[i].active &&
-		       upstream_may_have_run(&x->tries[i]);
+	for (int i = 0; i < MAX_UPSTREAMS; i++)
+		any |= x->upstreams[i].active &&
+		       upstream_may_have_run(&x->upstreams[i]);
 	return any;
 }
 
@@ -226,23 +226,23 @@
 	apr_time_t now = entry_now(x->e);
 
 	x->timer = NULL;
-	if (now >= x->ends_at) {
+	if (now >= x->deadline) {
 		x->maybe_ran = may_have_run(x);
-		for (int i = 0; i < TRIES; i++)
-			upstream_stop(&x->tries[i], UPSTREAM_TIMED_OUT);
-		exchange_answer_own(x, x->maybe_ran ? 504 : 503, "timeout");
+		for (int i = 0; i < MAX_UPSTREAMS; i++)
+			upstream_stop(&x->upstreams[i], UPSTREAM_TIMED_OUT);
+		exchange_reply_local(x, x->maybe_ran ? 504 : 503, "timeout");
 		return;
 	}
-	if (x->waits) {
+	if (x->waiting) {
 		begin(x);
 		return;
 	}
-	for (int i = 0; i < TRIES && !x->done; i++) {
-		struct upstream *u = &x->tries[i];
+	for (int i = 0; i < MAX_UPSTREAMS && !x->done; i++) {
+		struct upstream *u = &x->upstreams[i];
 
 		if (!u->active)
 			continue;
-		upstream_look(u, now);
+		upstream_check_age(u, now);
 		if (!x->done && u->active && u->stage >= TR_STAGE_LATE)
 			second(x, u);
 	}
@@ -253,18 +253,18 @@
 static void set_timer(struct exchange *x)
 {
 	apr_time_t now = entry_now(x->e);
-	apr_time_t at = x->ends_at;
+	apr_time_t at = x->deadline;
 
-	if (x->waits && now + WAIT_STEP < at)
+	if (x->waiting && now + WAIT_STEP < at)
 		at = now + WAIT_STEP;
 	loop_cancel(x->e->loop, x->timer);
 	x->timer = NULL;
-	for (int i = 0; i < TRIES; i++) {
+	for (int i = 0; i < MAX_UPSTREAMS; i++) {
 		apr_time_t next;
 
-		if (!x->tries[i].active)
+		if (!x->upstreams[i].active)
 			continue;
-		next = upstream_look(&x->tries[i], now);
+		next = upstream_check_age(&x->upstreams[i], now);
 		if (x->done)
 			return;
 		if (next < at)
@@ -278,7 +278,7 @@
 /* Nothing was run at the target: another, while there is time. */
 static void after_refusal(struct exchange *x, enum upstream_end how)
 {
-	const char *why = upstream_end_word(how);
+	const char *why = upstream_end_name(how);
 
 	x->runs--;
 	if (exchange_any_active(x))
@@ -307,26 +307,26 @@
 	}
 	if (exchange_any_active(x))
 		return;
-	if (how == UPSTREAM_FAILED && !exchange_promises_not_run(status))
-		exchange_deliver(x, u);
+	if (how == UPSTREAM_FAILED && !exchange_status_means_not_run(status))
+		exchange_forward_reply(x, u);
 	else
-		exchange_give_up(x, upstream_end_word(how));
+		exchange_give_up(x, upstream_end_name(how));
 }
 
 static void upstream_done(void *ctx, struct upstream *u, enum upstream_end how)
 {
 	struct exchange *x = ctx;
 
-	x->begun_again += u->begun_again;
+	x->reconnected += u->reconnected;
 	if (x->done)
 		return;
-	exchange_fatal_saw(x, u, how);
+	exchange_fatal_observe(x, u, how);
 	switch (how) {
 	case UPSTREAM_ANSWERED:
-		if (exchange_promises_not_run(u->answer.parser.status_code))
+		if (exchange_status_means_not_run(u->answer.parser.status_code))
 			after_failure(x, u, how);
 		else
-			exchange_deliver(x, u);
+			exchange_forward_reply(x, u);
 		break;
 	case UPSTREAM_REFUSED:
 	case UPSTREAM_UNREACHED:
@@ -344,16 +344,16 @@
  * nor that it has not; one would notice by callers that lose requests whenever
  * a VM is stopped while targets hang.
  */
-void exchange_answer_rest(struct entry *e)
+void exchange_reply_all(struct entry *e)
 {
 	for (struct exchange *x = e->exchanges; x; x = x->next)
 		if (!x->done)
-			exchange_answer_own(x, may_have_run(x) ? 504 : 503,
-					    "vm-ends");
+			exchange_reply_local(x, may_have_run(x) ? 504 : 503,
+					     "vm-ends");
 }
 
 /* Free all that run; for the end of the process. */
-void exchange_end_all(struct entry *e)
+void exchange_free_all(struct entry *e)
 {
 	while (e->exchanges)
 		exchange_free(e->exchanges);
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -138,22 +138,24 @@
 
 	x->e = e;
 	x->caller = caller;
-	caller->work = x;
+	caller->handler_data = x;
 	x->routes = tr_routes_ref(e->routes);
 	x->route = route;
 	x->organisation = organisation;
 	x->keeps = route->kind == TR_KIND_SAFE &&
 		   tr_mechanism_enabled(TR_MECH_KEPT_CONNECTIONS);
-	x->keyed = x->routes->organisations && !route->is_public;
+	x->needs_key = x->routes->organisations && !route->is_public;
 	x->next = e->exchanges;
 	if (x->next)
 		x->next->prev = x;
 	e->exchanges = x;
 	e->exchanges_count++;
-	e->draw = fmod(e->draw + GOLDEN, 1);
+	e->split_position = fmod(e->split_position + GOLDEN, 1);
 	x->service =
 		x->routes
-			->services[route->split[tr_split_choose(route, e->draw)]
+			->services[route
+					   ->split[tr_split_choose(
+						   route, e->split_position)]
 					   .service]
 			.row_index;
 	x->id = g_strdup(message_header(in, e->dialect->request_id));
@@ -161,8 +163,8 @@
 		g_strdup(http_method_str((enum http_method)in->parser.method));
 	/* The caller counts from its first byte: a body that came in slowly
 	 * has used up time that the target no longer has. */
-	x->arrived = caller->began_at;
-	x->ends_at = deadline_of(x, in);
+	x->arrived = caller->request_began_at;
+	x->deadline = deadline_of(x, in);
 	x->head = make_head(x, in);
 	x->body = in->body;
 	in->body = g_byte_array_new();
@@ -176,7 +178,7 @@
 
 /* Has another VM a newer configuration? A route that is not known here may
  * stand in it; a caller that is told 404 would not come back. */
-bool exchange_is_late(const struct entry *e)
+bool exchange_routes_outdated(const struct entry *e)
 {
 	uint64_t newest = tr_spread_newest_revision(
 		&e->members, TR_RESOURCE_ROUTES, entry_now(e));
@@ -203,7 +205,7 @@
 	}
 	route = tr_routes_match(e->routes, host, strcspn(host, ":"),
 				message_target(in));
-	if (!route && exchange_is_late(e)) {
+	if (!route && exchange_routes_outdated(e)) {
 		refuse(caller, 503);
 		return;
 	}
@@ -216,7 +218,7 @@
 		refuse(caller, 404);
 		return;
 	}
-	if (exchange_identify(e, caller, route, &organisation))
+	if (exchange_authenticate(e, caller, route, &organisation))
 		start(e, caller, route, organisation);
 }
 
@@ -230,8 +232,8 @@
 {
 	apr_time_t now = entry_now(e);
 
-	entry_paused(e, now);
-	if (e->routes && e->routes->organisations && now < e->settles_at)
+	entry_check_pause(e, now);
+	if (e->routes && e->routes->organisations && now < e->limits_settle_at)
 		return true;
 	if (!e->routes || !e->roster.confirmed_at || !entry_may_use_keys(e))
 		return now - e->started_at < HELD_AT_START ||
@@ -244,23 +246,23 @@
 	struct entry *e = ctx;
 
 	e->counts.requests++;
-	caller->work = NULL;
-	caller->counted = false;
+	caller->handler_data = NULL;
+	caller->counted_in_limit = false;
 	if (is_stale(e)) {
-		exchange_count(e, caller);
-		g_ptr_array_add(e->held, caller);
+		exchange_count_request(e, caller);
+		g_ptr_array_add(e->held_callers, caller);
 	} else {
 		admit(e, caller);
 	}
 }
 
 /* Serve what was held, once the list is current or it has waited enough. */
-void exchange_serve_held(struct entry *e)
+void exchange_resume_held(struct entry *e)
 {
-	if (!e->held->len || is_stale(e))
+	if (!e->held_callers->len || is_stale(e))
 		return;
-	while (e->held->len)
-		admit(e, g_ptr_array_remove_index(e->held, 0));
+	while (e->held_callers->len)
+		admit(e, g_ptr_array_remove_index(e->held_callers, 0));
 }
 
 /*
@@ -270,17 +272,17 @@
 static void gone(void *ctx, struct caller *caller)
 {
 	struct entry *e = ctx;
-	struct exchange *x = caller->work;
+	struct exchange *x = caller->handler_data;
 
 	e->counts.callers_gone++;
-	g_ptr_array_remove(e->held, caller);
+	g_ptr_array_remove(e->held_callers, caller);
 	if (!x || x->done)
 		return;
 	x->caller = NULL;
 	if (x->route->kind == TR_KIND_SAFE || !exchange_any_active(x)) {
 		exchange_log_end(x, 499, "caller-gone");
-		exchange_settle(x);
+		exchange_finish(x);
 	}
 }
 
-const struct listener_callbacks exchange_listener = { handle, gone };
+const struct listener_callbacks exchange_callbacks = { handle, gone };
--- a/entry/exchange_fatal.c
+++ b/entry/exchange_fatal.c
@@ -57,11 +57,11 @@
 	struct entry *e = x->e;
 	enum tr_fatal_verdict verdict = TR_FATAL_PASS;
 
-	if (!x->is_try)
+	if (!x->is_trial)
 		verdict = tr_fatal_admit(&e->fatals, x->identity, &e->random,
 					 entry_now(e));
 	if (verdict == TR_FATAL_TRY) {
-		x->is_try = true;
+		x->is_trial = true;
 		eventlog(EVENT_BELIEF, "fatal-request",
 			 "identity=%016" PRIx64 " state=tried id=%s",
 			 x->identity, x->id);
@@ -78,26 +78,26 @@
  * has mostly ended under many requests at once, of which none will be heard of
  * again; they go together in the next message.
  */
-void exchange_fatal_saw(struct exchange *x, const struct upstream *u,
-			enum upstream_end how)
+void exchange_fatal_observe(struct exchange *x, const struct upstream *u,
+			    enum upstream_end how)
 {
 	struct entry *e = x->e;
 	apr_time_t now = entry_now(e);
 	const struct tr_fatal_end end = {
 		.target = u->hash,
-		.known = u->ends_known,
-		.ended = u->broke_at,
+		.known = u->known_exits,
+		.ended = u->broken_at,
 	};
 
 	if (how == UPSTREAM_ANSWERED || how == UPSTREAM_FAILED) {
 		exchange_fatal_log(
 			e, x->identity,
 			tr_fatal_answered(&e->fatals, x->identity, now));
-	} else if (how == UPSTREAM_BROKEN && u->target_ended) {
+	} else if (how == UPSTREAM_BROKEN && u->target_exited) {
 		exchange_fatal_log(e, x->identity,
 				   tr_fatal_ended(&e->fatals, x->identity, &end,
 						  &e->random, now));
-		if (u->ends_known)
+		if (u->known_exits)
 			mesh_broadcast_now(e->mesh);
 		else
 			mesh_schedule_report(e->mesh);
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -21,18 +21,18 @@
 }
 
 /* Count the request with its organisation, once. */
-void exchange_count(struct entry *e, struct caller *caller)
+void exchange_count_request(struct entry *e, struct caller *caller)
 {
 	const struct tr_organisation *o;
 
-	if (caller->counted || !e->routes || !e->routes->organisations)
+	if (caller->counted_in_limit || !e->routes || !e->routes->organisations)
 		return;
 	o = tr_organisations_find(
 		e->routes->organisations,
 		message_header(&caller->in, e->dialect->api_key));
 	if (!o)
 		return;
-	caller->counted = true;
+	caller->counted_in_limit = true;
 	tr_limit_arrived(&e->limits.rows[o->row_index], &e->limit_bound,
 			 entry_now(e));
 	mesh_schedule_report(e->mesh);
@@ -69,9 +69,9 @@
  * a newer configuration; 401 is final for callers, so it is said only by a VM
  * that knows of none.
  */
-bool exchange_identify(struct entry *e, struct caller *caller,
-		       const struct tr_path_route *route,
-		       const struct tr_organisation **organisation)
+bool exchange_authenticate(struct entry *e, struct caller *caller,
+			   const struct tr_path_route *route,
+			   const struct tr_organisation **organisation)
 {
 	const struct tr_organisations *all = e->routes->organisations;
 	const char *name = e->dialect->api_key;
@@ -87,13 +87,14 @@
 		tr_organisations_find(all, message_header(&caller->in, name));
 	if (route->is_public)
 		return true;
-	if (!entry_may_use_keys(e) || (!*organisation && exchange_is_late(e))) {
+	if (!entry_may_use_keys(e) ||
+	    (!*organisation && exchange_routes_outdated(e))) {
 		e->counts.unproven++;
 		log_refused(e, caller, 503, "unproven", "-");
 		exchange_refuse(caller, 503, UNPROVEN_RETURN);
 		return false;
 	}
-	exchange_count(e, caller);
+	exchange_count_request(e, caller);
 	if (*organisation)
 		return is_within_limit(e, caller, *organisation);
 	e->counts.keys_refused++;
--- a/entry/exchange_internal.h
+++ b/entry/exchange_internal.h
@@ -6,8 +6,8 @@
 
 /* Attempts that run at the same time, and targets tried in all. Refusals and
  * failed connections run nothing, so they do not count as attempts. */
-#define TRIES	   2
-#define TRIED_MOST 8
+#define MAX_UPSTREAMS	  2
+#define MAX_TRIED_TARGETS 8
 
 struct exchange {
 	struct entry *e;
@@ -24,45 +24,45 @@
 	GString *head;
 	GByteArray *body;
 	apr_time_t arrived;
-	apr_time_t ends_at;
-	struct upstream tries[TRIES];
-	uint32_t tried[TRIED_MOST];
-	double risk[TRIED_MOST];
-	uint32_t in_flight[TRIED_MOST];
+	apr_time_t deadline;
+	struct upstream upstreams[MAX_UPSTREAMS];
+	uint32_t tried[MAX_TRIED_TARGETS];
+	double risk[MAX_TRIED_TARGETS];
+	uint32_t in_flight[MAX_TRIED_TARGETS];
 	unsigned tried_count;
 	unsigned runs;
 	unsigned for_floor;
-	unsigned begun_again;
-	bool is_try;
-	bool waits;
-	bool keyed;
+	unsigned reconnected;
+	bool is_trial;
+	bool waiting;
+	bool needs_key;
 	bool keeps;
-	bool bound_reached;
-	apr_time_t return_after;
+	bool budget_exhausted;
+	apr_time_t retry_after;
 	bool maybe_ran;
 	bool done;
 	struct loop_timer *timer;
 };
 
-apr_time_t exchange_usual(const struct exchange *x);
-double exchange_heard(const struct exchange *x);
+apr_time_t exchange_typical_latency(const struct exchange *x);
+double exchange_heard_share(const struct exchange *x);
 void exchange_free(struct exchange *x);
-void exchange_settle(struct exchange *x);
+void exchange_finish(struct exchange *x);
 void exchange_log_end(const struct exchange *x, int status, const char *why);
-void exchange_answer_own(struct exchange *x, int status, const char *why);
+void exchange_reply_local(struct exchange *x, int status, const char *why);
 void exchange_give_up(struct exchange *x, const char *why);
-void exchange_deliver(struct exchange *x, struct upstream *u);
-bool exchange_promises_not_run(int status);
+void exchange_forward_reply(struct exchange *x, struct upstream *u);
+bool exchange_status_means_not_run(int status);
 bool exchange_any_active(const struct exchange *x);
 const char *exchange_send(struct exchange *x);
-bool exchange_identify(struct entry *e, struct caller *caller,
-		       const struct tr_path_route *route,
-		       const struct tr_organisation **organisation);
+bool exchange_authenticate(struct entry *e, struct caller *caller,
+			   const struct tr_path_route *route,
+			   const struct tr_organisation **organisation);
 enum tr_fatal_verdict exchange_fatal_admit(struct exchange *x);
-void exchange_fatal_saw(struct exchange *x, const struct upstream *u,
-			enum upstream_end how);
-void exchange_count(struct entry *e, struct caller *caller);
-bool exchange_is_late(const struct entry *e);
+void exchange_fatal_observe(struct exchange *x, const struct upstream *u,
+			    enum upstream_end how);
+void exchange_count_request(struct entry *e, struct caller *caller);
+bool exchange_routes_outdated(const struct entry *e);
 void exchange_refuse(struct caller *caller, int status, apr_time_t after);
 
 #endif
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -15,14 +15,14 @@
 #define RETRY_AFTER_LEAST TR_MSEC(50)
 
 /* How long the request's work usually takes. */
-apr_time_t exchange_usual(const struct exchange *x)
+apr_time_t exchange_typical_latency(const struct exchange *x)
 {
 	return tr_service_stats_mean_time(&x->e->roster.services[x->service],
 					  x->route->latency_aim);
 }
 
 /* The part of the fleet that is heard, by which limits of targets are kept. */
-double exchange_heard(const struct exchange *x)
+double exchange_heard_share(const struct exchange *x)
 {
 	const struct entry *e = x->e;
 
@@ -37,8 +37,8 @@
 	struct entry *e = x->e;
 
 	loop_cancel(e->loop, x->timer);
-	for (int i = 0; i < TRIES; i++)
-		upstream_release(&x->tries[i]);
+	for (int i = 0; i < MAX_UPSTREAMS; i++)
+		upstream_release(&x->upstreams[i]);
 	if (x->prev)
 		x->prev->next = x->next;
 	else
@@ -66,12 +66,12 @@
 
 /* The fate is settled. Freed from the loop, since attempts may be on the
  * stack. */
-void exchange_settle(struct exchange *x)
+void exchange_finish(struct exchange *x)
 {
 	x->done = true;
 	x->caller = NULL;
-	for (int i = 0; i < TRIES; i++)
-		upstream_stop(&x->tries[i], UPSTREAM_ABANDONED);
+	for (int i = 0; i < MAX_UPSTREAMS; i++)
+		upstream_stop(&x->upstreams[i], UPSTREAM_ABANDONED);
 	loop_cancel(x->e->loop, x->timer);
 	x->timer = loop_after(x->e->loop, 0, freed_later, x);
 }
@@ -116,19 +116,19 @@
 		" view_age_ms=%ld",
 		x->id, x->identity, x->route->name,
 		e->roster.services[x->service].name,
-		times_kind_word(x->route->kind), status, why,
+		times_kind_name(x->route->kind), status, why,
 		(long)((now - x->arrived) / 1000),
 		(long)(x->route->latency_aim / 1000),
-		(long)((x->ends_at - now) / 1000),
-		(long)(exchange_usual(x) / 1000), x->runs, x->for_floor,
-		x->begun_again, x->bound_reached,
+		(long)((x->deadline - now) / 1000),
+		(long)(exchange_typical_latency(x) / 1000), x->runs,
+		x->for_floor, x->reconnected, x->budget_exhausted,
 		x->organisation ? x->organisation->name : "-",
 		tried_text(x, tried, sizeof(tried)), x->routes->version,
 		(long)(entry_view_age(e) / 1000));
 }
 
 /* Answer for this VM itself. 503 says when to come back. */
-void exchange_answer_own(struct exchange *x, int status, const char *why)
+void exchange_reply_local(struct exchange *x, int status, const char *why)
 {
 	struct caller_reply answer = { .status = status };
 	struct entry *e = x->e;
@@ -139,14 +139,14 @@
 	if (status == 503) {
 		const struct tr_place_request req = {
 			.service = x->service,
-			.expected_work = exchange_usual(x),
-			.heard = exchange_heard(x),
+			.expected_work = exchange_typical_latency(x),
+			.heard = exchange_heard_share(x),
 		};
 
 		after = tr_place_retry_after(&e->roster, &req, &e->random,
 					     entry_now(e));
-		if (after < x->return_after)
-			after = x->return_after;
+		if (after < x->retry_after)
+			after = x->retry_after;
 		if (after < RETRY_AFTER_LEAST)
 			after = RETRY_AFTER_LEAST;
 		g_string_append_printf(headers, "Retry-After: %.3f\r\n",
@@ -159,7 +159,7 @@
 			       x->id);
 	exchange_log_end(x, status, why);
 	answer.headers = headers->str;
-	exchange_settle(x);
+	exchange_finish(x);
 	if (caller)
 		caller_reply(caller, &answer);
 	g_string_free(headers, TRUE);
@@ -169,9 +169,9 @@
 void exchange_give_up(struct exchange *x, const char *why)
 {
 	if (x->maybe_ran)
-		exchange_answer_own(x, 502, why);
+		exchange_reply_local(x, 502, why);
 	else
-		exchange_answer_own(x, 503, why);
+		exchange_reply_local(x, 503, why);
 }
 
 static bool is_for_peer_only(const struct dialect *d, const char *name)
@@ -181,7 +181,7 @@
 }
 
 /* Pass on a target's answer, as it was given. */
-void exchange_deliver(struct exchange *x, struct upstream *u)
+void exchange_forward_reply(struct exchange *x, struct upstream *u)
 {
 	const struct message *msg = &u->answer;
 	int status = msg->parser.status_code;
@@ -203,14 +203,14 @@
 	x->e->counts.answered++;
 	exchange_log_end(x, status, "answered");
 	answer.headers = headers->str;
-	exchange_settle(x);
+	exchange_finish(x);
 	if (caller)
 		caller_reply(caller, &answer);
 	g_string_free(headers, TRUE);
 }
 
 /* These statuses promise that nothing was run. */
-bool exchange_promises_not_run(int status)
+bool exchange_status_means_not_run(int status)
 {
 	return status == 429 || status == 503 || status == 408 || status == 421;
 }
@@ -218,8 +218,8 @@
 /* Does an attempt run? */
 bool exchange_any_active(const struct exchange *x)
 {
-	for (int i = 0; i < TRIES; i++)
-		if (x->tries[i].active)
+	for (int i = 0; i < MAX_UPSTREAMS; i++)
+		if (x->upstreams[i].active)
 			return true;
 	return false;
 }
--- a/entry/idle.c
+++ b/entry/idle.c
@@ -174,11 +174,11 @@
 /* Look for targets of this group that have become idle. */
 void idle_step(struct entry *e, apr_time_t now)
 {
-	if (now - e->idle_looked_at < LOOK_EVERY)
+	if (now - e->idle_checked_at < LOOK_EVERY)
 		return;
-	e->idle_looked_at = now;
-	if (now - e->floors_looked_at >= FLOOR_EVERY) {
-		e->floors_looked_at = now;
+	e->idle_checked_at = now;
+	if (now - e->floors_logged_at >= FLOOR_EVERY) {
+		e->floors_logged_at = now;
 		look_at_floors(e, now);
 	}
 	for (unsigned i = 0; i < e->roster.count; i++) {
--- a/entry/message.c
+++ b/entry/message.c
@@ -10,9 +10,9 @@
 
 static bool head_grew(struct message *msg, size_t by)
 {
-	msg->head_seen += by;
-	msg->too_long_head = msg->head_seen > msg->head_most;
-	return msg->too_long_head;
+	msg->head_bytes += by;
+	msg->head_too_long = msg->head_bytes > msg->max_head;
+	return msg->head_too_long;
 }
 
 static int on_begin(http_parser *p)
@@ -74,9 +74,8 @@
 	/* Trailers would be headers nobody has looked at: keep them out. */
 	msg->head_done = true;
 	msg->framed = (p->flags & (F_CHUNKED | F_CONTENTLENGTH)) != 0;
-	if ((p->flags & F_CONTENTLENGTH) &&
-	    p->content_length > msg->body_most) {
-		msg->too_long_body = true;
+	if ((p->flags & F_CONTENTLENGTH) && p->content_length > msg->max_body) {
+		msg->body_too_long = true;
 		return -1;
 	}
 	return msg->head_only;
@@ -86,8 +85,8 @@
 {
 	struct message *msg = of(p);
 
-	if (msg->body->len + len > msg->body_most) {
-		msg->too_long_body = true;
+	if (msg->body->len + len > msg->max_body) {
+		msg->body_too_long = true;
 		return 1;
 	}
 	g_byte_array_append(msg->body, (const guint8 *)at, (guint)len);
@@ -116,14 +115,14 @@
 
 /* Make ready to read messages whose parts are at most so many bytes long. */
 void message_init(struct message *msg, enum http_parser_type type,
-		  size_t head_most, size_t body_most)
+		  size_t max_head, size_t max_body)
 {
 	memset(msg, 0, sizeof(*msg));
 	msg->text = g_string_sized_new(512);
 	msg->headers = g_array_new(FALSE, FALSE, sizeof(struct message_field));
 	msg->body = g_byte_array_new();
-	msg->head_most = head_most;
-	msg->body_most = body_most;
+	msg->max_head = max_head;
+	msg->max_body = max_body;
 	http_parser_init(&msg->parser, type);
 	msg->parser.data = msg;
 }
@@ -136,13 +135,13 @@
 	g_string_truncate(msg->text, 0);
 	g_array_set_size(msg->headers, 0);
 	g_byte_array_set_size(msg->body, 0);
-	msg->head_seen = 0;
+	msg->head_bytes = 0;
 	msg->in_value = false;
 	msg->begun = false;
 	msg->head_done = false;
 	msg->complete = false;
-	msg->too_long_head = false;
-	msg->too_long_body = false;
+	msg->head_too_long = false;
+	msg->body_too_long = false;
 	http_parser_init(&msg->parser, type);
 }
 
--- a/entry/message.h
+++ b/entry/message.h
@@ -21,22 +21,22 @@
 	GArray *headers;
 	GByteArray *body;
 	uint32_t target;
-	size_t body_most;
-	size_t head_most;
-	size_t head_seen;
+	size_t max_body;
+	size_t max_head;
+	size_t head_bytes;
 	bool in_value;
 	bool begun;
 	bool head_done;
 	bool complete;
 	bool keep_alive;
 	bool framed;
-	bool too_long_head;
-	bool too_long_body;
+	bool head_too_long;
+	bool body_too_long;
 	bool head_only;
 };
 
 void message_init(struct message *msg, enum http_parser_type type,
-		  size_t head_most, size_t body_most);
+		  size_t max_head, size_t max_body);
 void message_reset(struct message *msg);
 void message_free(struct message *msg);
 ssize_t message_feed(struct message *msg, const char *data, size_t len);
--- a/entry/repeat.c
+++ b/entry/repeat.c
@@ -79,9 +79,9 @@
 {
 	e->repeat_bound.vms = slack_vms(e, now);
 	e->repeat_bound.heard = e->members.near_count;
-	if (now - e->repeats_looked_at < LOG_EVERY)
+	if (now - e->repeats_logged_at < LOG_EVERY)
 		return;
-	e->repeats_looked_at = now;
+	e->repeats_logged_at = now;
 	for (uint32_t i = 0; i < e->allowances_count; i++) {
 		struct tr_allowance *a = &e->allowances[i];
 		unsigned wanted = a->own.repeats + a->denied;
--- a/entry/times.c
+++ b/entry/times.c
@@ -15,7 +15,7 @@
 };
 
 /* How logs and metrics name a kind of request. */
-const char *times_kind_word(enum tr_kind kind)
+const char *times_kind_name(enum tr_kind kind)
 {
 	return kind_words[kind];
 }
--- a/entry/times.h
+++ b/entry/times.h
@@ -17,7 +17,7 @@
 	struct tr_histogram took;
 };
 
-const char *times_kind_word(enum tr_kind kind);
+const char *times_kind_name(enum tr_kind kind);
 void times_add(struct entry *e, const struct times_row *what, apr_time_t took);
 void times_print(const struct entry *e, GString *text);
 
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -65,9 +65,9 @@
 	if (gone > STOP_IDLE_SHARE)
 		listener_close_idle(&e->front);
 	if (gone > STOP_REFUSE_SHARE)
-		listener_refuse_new(&e->front);
+		listener_stop_accepting(&e->front);
 	if (gone > STOP_END_SHARE)
-		exchange_answer_rest(e);
+		exchange_reply_all(e);
 	if (gone > STOP_END_SHARE || (gone > STOP_REFUSE_SHARE &&
 				      !e->exchanges_count && !e->front.count))
 		loop_stop(e->loop);
@@ -100,7 +100,7 @@
 	d->old = g_slist_prepend(d->old, d->settings);
 	d->settings = s;
 	e->settings = s;
-	entry_set_bounds(e);
+	entry_apply_bounds(e);
 	reader_reload(e->reader);
 	mesh_add_seeds(e->mesh);
 	eventlog(EVENT_LIFE, "reload", "seeds=%u store=%s", s->seeds_count,
@@ -161,7 +161,7 @@
 	struct entry *e = &d->e;
 	apr_time_t now = entry_now(e);
 
-	if (entry_paused(e, now)) {
+	if (entry_check_pause(e, now)) {
 		eventlog(EVENT_LIFE, "paused", "for_ms=%ld",
 			 (long)((now - e->stepped_at) / 1000));
 		reader_reset(e->reader);
@@ -169,7 +169,7 @@
 	}
 	e->stepped_at = now;
 	look_at_settings(d, now);
-	exchange_serve_held(e);
+	exchange_resume_held(e);
 	tr_roster_step(&e->roster, now);
 	idle_step(e, now);
 	repeat_step(e, now);
@@ -231,7 +231,7 @@
 	if (!e->mesh)
 		return -1;
 	e->reader = reader_new(e);
-	if (open_listener(d, &e->front, "front", s->front, &exchange_listener,
+	if (open_listener(d, &e->front, "front", s->front, &exchange_callbacks,
 			  err) ||
 	    open_listener(d, &e->directory, "directory", s->directory,
 			  &endpoints_directory, err) ||
@@ -258,13 +258,13 @@
 	e->settings = s;
 	e->dialect = &platform_dialect;
 	e->random.state = seeds[0];
-	e->draw = tr_random_unit(&e->random);
-	e->held = g_ptr_array_new();
+	e->split_position = tr_random_unit(&e->random);
+	e->held_callers = g_ptr_array_new();
 	e->started_at = entry_now(e);
 	e->repeats_known_since = s->first_start ? 0 : e->started_at;
-	e->settles_at = e->started_at + SETTLES_LEAST +
-			TR_MSEC(tr_random_below(&e->random, SETTLES_MS));
-	entry_set_bounds(e);
+	e->limits_settle_at = e->started_at + SETTLES_LEAST +
+			      TR_MSEC(tr_random_below(&e->random, SETTLES_MS));
+	entry_apply_bounds(e);
 	e->front.fd = e->directory.fd = -1;
 	e->readiness.fd = e->metrics.fd = -1;
 	inet_pton(AF_INET, s->ip, &ip);
@@ -277,7 +277,7 @@
 	struct entry *e = &d->e;
 
 	listener_close(&e->front);
-	exchange_end_all(e);
+	exchange_free_all(e);
 	conn_pool_clear(e);
 	listener_close(&e->directory);
 	listener_close(&e->readiness);
@@ -290,7 +290,7 @@
 	g_free(e->allowances);
 	tr_limits_release(&e->limits);
 	tr_fatal_release(&e->fatals);
-	g_ptr_array_free(e->held, TRUE);
+	g_ptr_array_free(e->held_callers, TRUE);
 	if (e->times)
 		g_array_free(e->times, TRUE);
 	loop_destroy(e->loop);
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -34,7 +34,7 @@
 	"broken",   "timed-out", "abandoned",
 };
 
-const char *upstream_end_word(enum upstream_end how)
+const char *upstream_end_name(enum upstream_end how)
 {
 	return words[how];
 }
@@ -123,7 +123,7 @@
 	case UPSTREAM_BROKEN:
 	case UPSTREAM_TIMED_OUT:
 		if (how == UPSTREAM_BROKEN &&
-		    (u->target_ended || !u->connected))
+		    (u->target_exited || !u->connected))
 			row->unreachable_until =
 				entry_now(u->e) + UNREACHABLE_FOR;
 		/* What was said while it ran is not said again. */
@@ -146,8 +146,8 @@
 		return;
 	u->active = false;
 	stream_close(&u->stream);
-	loop_cancel(u->e->loop, u->check_timer);
-	u->check_timer = NULL;
+	loop_cancel(u->e->loop, u->probe_timer);
+	u->probe_timer = NULL;
 	if (u->head)
 		g_string_free(u->head, TRUE);
 	u->head = NULL;
@@ -216,10 +216,10 @@
  * answer is there: the rest of it may never come. */
 static void read_notice(struct upstream *u)
 {
-	if (u->noticed || !u->answer.head_done ||
+	if (u->notice_read || !u->answer.head_done ||
 	    u->answer.parser.status_code < 200 || !is_ours(u))
 		return;
-	u->noticed = true;
+	u->notice_read = true;
 	notices_handle(u->e, u->row, u->hash, &u->answer);
 }
 
@@ -267,13 +267,13 @@
  */
 static enum upstream_end unreached(const struct upstream *u)
 {
-	return u->begun_again ? UPSTREAM_BROKEN : UPSTREAM_UNREACHED;
+	return u->reconnected ? UPSTREAM_BROKEN : UPSTREAM_UNREACHED;
 }
 
 /* May a target have begun to run it? */
 bool upstream_may_have_run(const struct upstream *u)
 {
-	return u->connected || u->begun_again;
+	return u->connected || u->reconnected;
 }
 
 static int connect_to(struct upstream *u, const struct stream_callbacks *calls);
@@ -326,7 +326,7 @@
 	struct upstream *u = ctx;
 
 	(void)why;
-	u->target_ended = u->stream.refused;
+	u->target_exited = u->stream.refused;
 	over(u, UPSTREAM_BROKEN);
 }
 
@@ -334,7 +334,7 @@
 {
 	struct upstream *u = ctx;
 
-	u->check_timer = NULL;
+	u->probe_timer = NULL;
 	over(u, UPSTREAM_BROKEN);
 }
 
@@ -351,17 +351,17 @@
  */
 static void check_end(struct upstream *u)
 {
-	u->broke_at = entry_now(u->e);
+	u->broken_at = entry_now(u->e);
 	if (!row_of(u)) {
 		over(u, UPSTREAM_BROKEN);
 		return;
 	}
 	if (connect_to(u, &check_calls)) {
-		u->target_ended = u->stream.refused;
+		u->target_exited = u->stream.refused;
 		over(u, UPSTREAM_BROKEN);
 		return;
 	}
-	u->check_timer = loop_after(u->e->loop, CONNECT_TIMEOUT, check_late, u);
+	u->probe_timer = loop_after(u->e->loop, CONNECT_TIMEOUT, check_late, u);
 }
 
 /* The kept connection was dead: the same on a new one. Nothing is said of the
@@ -370,19 +370,19 @@
 static void begin_again(struct upstream *u)
 {
 	u->e->counts.reused_dead++;
-	conn_pool_report_dead(u->e, u->rested);
-	u->rested = 0;
-	u->begun_again = true;
+	conn_pool_report_dead(u->e, u->kept_idle_time);
+	u->kept_idle_time = 0;
+	u->reconnected = true;
 	u->connected = false;
-	u->began = entry_now(u->e);
-	u->broke_at = u->began;
+	u->started_at = entry_now(u->e);
+	u->broken_at = u->started_at;
 	if (!may_send_again(u)) {
 		check_end(u);
 		return;
 	}
 	count_sent(u, row_of(u));
 	if (connect_to(u, &calls)) {
-		u->target_ended = u->stream.refused;
+		u->target_exited = u->stream.refused;
 		over(u, unreached(u));
 	}
 }
@@ -392,11 +392,11 @@
 	struct upstream *u = ctx;
 
 	if (!u->connected) {
-		u->target_ended = u->begun_again && u->stream.refused;
+		u->target_exited = u->reconnected && u->stream.refused;
 		over(u, unreached(u));
 		return;
 	}
-	if (u->rested && !u->answer.begun) {
+	if (u->kept_idle_time && !u->answer.begun) {
 		begin_again(u);
 		return;
 	}
@@ -433,7 +433,7 @@
 static bool take_kept(struct upstream *u)
 {
 	if (!u->keeps || !conn_pool_get(u->e, u->row, u->hash, &u->stream,
-					&calls, u, &u->rested))
+					&calls, u, &u->kept_idle_time))
 		return false;
 	u->e->counts.reused++;
 	send_it(u);
@@ -453,18 +453,18 @@
 	u->hash = row->hash;
 	u->connected = false;
 	u->stage = TR_STAGE_NORMAL;
-	u->began = entry_now(e);
-	u->sent_at = u->began;
+	u->started_at = entry_now(e);
+	u->sent_at = u->started_at;
 	u->expected = request->expected;
 	u->spread = request->spread;
 	u->queued = request->queued;
 	u->keeps = request->keeps;
-	u->rested = 0;
-	u->begun_again = false;
-	u->check_timer = NULL;
-	u->target_ended = false;
-	u->noticed = false;
-	u->ends_known = request->ends_known;
+	u->kept_idle_time = 0;
+	u->reconnected = false;
+	u->probe_timer = NULL;
+	u->target_exited = false;
+	u->notice_read = false;
+	u->known_exits = request->known_exits;
 	u->request_id = request->request_id;
 	u->head = request->head;
 	u->body = request->body;
@@ -475,7 +475,7 @@
 	u->answer.head_only = request->head_only;
 	row->in_flight++;
 	count_sent(u, row);
-	row->used_at = u->began;
+	row->used_at = u->started_at;
 	tr_roster_mark_dirty(&u->e->roster, row);
 	mesh_schedule_report(e->mesh);
 	u->active = true;
@@ -489,18 +489,18 @@
  * Look at a running attempt: say what its age tells of the target. When to
  * look again; an attempt that could not connect in time is over.
  */
-apr_time_t upstream_look(struct upstream *u, apr_time_t now)
+apr_time_t upstream_check_age(struct upstream *u, apr_time_t now)
 {
 	struct tr_instance *row = row_of(u);
 
-	if (u->check_timer)
+	if (u->probe_timer)
 		return APR_INT64_MAX;
-	if (!u->connected && now >= u->began + CONNECT_TIMEOUT) {
+	if (!u->connected && now >= u->started_at + CONNECT_TIMEOUT) {
 		over(u, unreached(u));
 		return now;
 	}
 	if (!u->connected)
-		return u->began + CONNECT_TIMEOUT;
+		return u->started_at + CONNECT_TIMEOUT;
 	while (u->stage < TR_STAGE_OVERDUE &&
 	       tr_mechanism_enabled(TR_MECH_RUNNING_AGE)) {
 		enum tr_request_stage next =
--- a/entry/upstream.h
+++ b/entry/upstream.h
@@ -33,23 +33,23 @@
 	bool connected;
 	enum tr_request_stage stage;
 	bool refused_421;
-	bool noticed;
+	bool notice_read;
 	uint32_t row;
 	uint32_t hash;
 	struct stream stream;
 	struct message answer;
-	apr_time_t began;
+	apr_time_t started_at;
 	apr_time_t sent_at;
 	apr_time_t expected;
 	double spread;
 	bool queued;
 	bool keeps;
-	apr_time_t rested;
-	bool begun_again;
-	struct loop_timer *check_timer;
-	apr_time_t broke_at;
-	bool target_ended;
-	unsigned ends_known;
+	apr_time_t kept_idle_time;
+	bool reconnected;
+	struct loop_timer *probe_timer;
+	apr_time_t broken_at;
+	bool target_exited;
+	unsigned known_exits;
 	const char *request_id;
 	upstream_done_fn done;
 	void *ctx;
@@ -72,16 +72,16 @@
 	bool keeps;
 	apr_time_t expected;
 	double spread;
-	unsigned ends_known;
+	unsigned known_exits;
 };
 
 int upstream_start(struct upstream *u, struct entry *e, uint32_t row,
 		   const struct upstream_request *request,
 		   upstream_done_fn done, void *ctx);
-apr_time_t upstream_look(struct upstream *u, apr_time_t now);
+apr_time_t upstream_check_age(struct upstream *u, apr_time_t now);
 void upstream_stop(struct upstream *u, enum upstream_end how);
 bool upstream_may_have_run(const struct upstream *u);
 void upstream_release(struct upstream *u);
-const char *upstream_end_word(enum upstream_end how);
+const char *upstream_end_name(enum upstream_end how);
 
 #endif
--- a/tests/message_test.cc
+++ b/tests/message_test.cc
@@ -86,15 +86,15 @@
 	EXPECT_EQ(feed("GET / HTTP/1.1\r\nLong: " + std::string(200, 'x') +
 		       "\r\n\r\n"),
 		  -1);
-	EXPECT_TRUE(msg.too_long_head);
+	EXPECT_TRUE(msg.head_too_long);
 	message_reset(&msg);
 	EXPECT_EQ(feed("POST / HTTP/1.1\r\nContent-Length: 11\r\n\r\n"), -1);
-	EXPECT_TRUE(msg.too_long_body);
+	EXPECT_TRUE(msg.body_too_long);
 	message_reset(&msg);
 	EXPECT_EQ(feed("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 		       "b\r\n12345678901\r\n"),
 		  -1);
-	EXPECT_TRUE(msg.too_long_body);
+	EXPECT_TRUE(msg.body_too_long);
 }
 
 /*
