--- a/entry/message.c
+++ b/entry/message.c
@@ -3,12 +3,13 @@
 #include <string.h>
 #include <strings.h>
 
-static struct message *of(http_parser *p)
+static struct message *message_of(http_parser *p)
 {
 	return p->data;
 }
 
-static bool head_grew(struct message *msg, size_t by)
+/* Counts bytes of the head. Returns true when the head is too long. */
+static bool exceeds_max_head(struct message *msg, size_t by)
 {
 	msg->head_bytes += by;
 	msg->head_too_long = msg->head_bytes > msg->max_head;
@@ -17,15 +18,15 @@
 
 static int on_begin(http_parser *p)
 {
-	of(p)->begun = true;
+	message_of(p)->begun = true;
 	return 0;
 }
 
 static int on_url(http_parser *p, const char *at, size_t len)
 {
-	struct message *msg = of(p);
+	struct message *msg = message_of(p);
 
-	if (head_grew(msg, len))
+	if (exceeds_max_head(msg, len))
 		return 1;
 	g_string_append_len(msg->text, at, (gssize)len);
 	return 0;
@@ -33,10 +34,10 @@
 
 static int on_field(http_parser *p, const char *at, size_t len)
 {
-	struct message *msg = of(p);
+	struct message *msg = message_of(p);
 	struct message_field next;
 
-	if (head_grew(msg, len))
+	if (exceeds_max_head(msg, len))
 		return 1;
 	if (msg->in_value || !msg->headers->len) {
 		g_string_append_c(msg->text, 0);
@@ -51,10 +52,10 @@
 
 static int on_value(http_parser *p, const char *at, size_t len)
 {
-	struct message *msg = of(p);
+	struct message *msg = message_of(p);
 	struct message_field *last;
 
-	if (head_grew(msg, len) || !msg->headers->len)
+	if (exceeds_max_head(msg, len) || !msg->headers->len)
 		return 1;
 	last = &g_array_index(msg->headers, struct message_field,
 			      msg->headers->len - 1);
@@ -69,9 +70,12 @@
 
 static int on_head(http_parser *p)
 {
-	struct message *msg = of(p);
+	struct message *msg = message_of(p);
 
-	/* Trailers would be headers nobody has looked at: keep them out. */
+	/*
+	 * Any further fields are trailers, which no check of the head has
+	 * covered.
+	 */
 	msg->head_done = true;
 	msg->framed = (p->flags & (F_CHUNKED | F_CONTENTLENGTH)) != 0;
 	if ((p->flags & F_CONTENTLENGTH) && p->content_length > msg->max_body) {
@@ -83,7 +87,7 @@
 
 static int on_body(http_parser *p, const char *at, size_t len)
 {
-	struct message *msg = of(p);
+	struct message *msg = message_of(p);
 
 	if (msg->body->len + len > msg->max_body) {
 		msg->body_too_long = true;
@@ -95,7 +99,7 @@
 
 static int on_complete(http_parser *p)
 {
-	struct message *msg = of(p);
+	struct message *msg = message_of(p);
 
 	msg->complete = true;
 	msg->keep_alive = http_should_keep_alive(p);
@@ -103,7 +107,7 @@
 	return 0;
 }
 
-static const http_parser_settings calls = {
+static const http_parser_settings parser_callbacks = {
 	.on_message_begin = on_begin,
 	.on_url = on_url,
 	.on_header_field = on_field,
@@ -113,7 +117,10 @@
 	.on_message_complete = on_complete,
 };
 
-/* Make ready to read messages whose parts are at most so many bytes long. */
+/*
+ * Initializes the message for parsing. The head and the body may have at most
+ * max_head and max_body bytes.
+ */
 void message_init(struct message *msg, enum http_parser_type type,
 		  size_t max_head, size_t max_body)
 {
@@ -127,7 +134,7 @@
 	msg->parser.data = msg;
 }
 
-/* Make ready for the next message of the same connection. */
+/* Prepares for the next message on the same connection. */
 void message_reset(struct message *msg)
 {
 	enum http_parser_type type = (enum http_parser_type)msg->parser.type;
@@ -156,8 +163,9 @@
 }
 
 /*
- * Read on. The bytes that belong to this message; what follows a complete one
- * is left to the caller. -1 when they are not HTTP, or too many.
+ * Parses received bytes. Returns how many belong to this message; those that
+ * follow a complete message are left to the caller. Returns -1 if they are not
+ * valid HTTP or exceed a limit.
  */
 ssize_t message_feed(struct message *msg, const char *data, size_t len)
 {
@@ -165,7 +173,7 @@
 
 	if (msg->complete)
 		return 0;
-	used = http_parser_execute(&msg->parser, &calls, data, len);
+	used = http_parser_execute(&msg->parser, &parser_callbacks, data, len);
 	if (msg->complete)
 		return (ssize_t)used;
 	if (HTTP_PARSER_ERRNO(&msg->parser) != HPE_OK || msg->parser.upgrade)
@@ -173,11 +181,14 @@
 	return (ssize_t)used;
 }
 
-/* The peer ends the stream. Is that the end of a message without a length? */
+/*
+ * Tells the parser that the peer has closed the stream. Returns whether the
+ * message is complete: a response without a length ends here.
+ */
 bool message_end_of_stream(struct message *msg)
 {
 	if (!msg->complete)
-		http_parser_execute(&msg->parser, &calls, NULL, 0);
+		http_parser_execute(&msg->parser, &parser_callbacks, NULL, 0);
 	return msg->complete;
 }
 
@@ -199,11 +210,14 @@
 	const struct message_field *h =
 		&g_array_index(msg->headers, struct message_field, i);
 
-	/* A header without a value has no zero of its own before it. */
+	/* An empty value has no NUL of its own in text. */
 	return h->value == h->name ? "" : msg->text->str + h->value;
 }
 
-/* The first header of the name, or NULL. */
+/*
+ * Returns the value of the first header with this name, or NULL. Names are
+ * compared without regard to case.
+ */
 const char *message_header(const struct message *msg, const char *name)
 {
 	for (unsigned i = 0; i < msg->headers->len; i++)
@@ -212,6 +226,7 @@
 	return NULL;
 }
 
+/* Returns how many headers have this name. */
 unsigned message_count(const struct message *msg, const char *name)
 {
 	unsigned n = 0;
@@ -221,7 +236,10 @@
 	return n;
 }
 
-/* Headers that concern one connection only, and those that are made anew. */
+/*
+ * Returns whether a header is hop-by-hop or generated anew, and so not
+ * forwarded.
+ */
 bool message_is_connection_header(const char *name)
 {
 	static const char *const names[] = {
--- a/entry/message.h
+++ b/entry/message.h
@@ -1,38 +1,39 @@
 #ifndef MESSAGE_H
 #define MESSAGE_H
 
+/*
+ * HTTP/1.1 messages: an incremental parser with limits, on top of http_parser.
+ */
 #include <glib.h>
 #include <http_parser.h>
 #include <stdbool.h>
 
-/* One header; offsets into the message's text. */
+/* A header field, as offsets into message.text. */
 struct message_field {
 	uint32_t name;
 	uint32_t value;
 };
 
-/*
- * An HTTP/1.1 request or response while it is read, and after. text holds the
- * target and the headers, each ended by a zero.
- */
+/* An HTTP/1.1 request or response, during and after parsing. */
 struct message {
 	http_parser parser;
+	/* The request target and the header fields, each terminated by NUL. */
 	GString *text;
 	GArray *headers;
 	GByteArray *body;
-	uint32_t target;
-	size_t max_body;
-	size_t max_head;
-	size_t head_bytes;
-	bool in_value;
-	bool begun;
+	uint32_t target;   /* offset of the request target in text */
+	size_t max_body;   /* bytes */
+	size_t max_head;   /* bytes */
+	size_t head_bytes; /* received so far */
+	bool in_value;	   /* the value of the last header has begun */
+	bool begun;	   /* parsing has begun */
 	bool head_done;
 	bool complete;
 	bool keep_alive;
-	bool framed;
+	bool framed; /* has Content-Length or is chunked */
 	bool head_too_long;
 	bool body_too_long;
-	bool head_only;
+	bool head_only; /* a response to HEAD, which has no body */
 };
 
 void message_init(struct message *msg, enum http_parser_type type,
--- a/tests/message_test.cc
+++ b/tests/message_test.cc
@@ -51,9 +51,9 @@
 }
 
 /*
- * Symptom: a request that nobody sent is run. Sequence: two lengths, of which
- * one reader takes the first and another the second; a request hides in the
- * difference. Cause: ambiguous framing was passed on.
+ * Guards against request smuggling: a request with two lengths, of which one
+ * parser uses the first and another the second, hides a further request in the
+ * difference. Ambiguous framing must not be forwarded.
  */
 TEST_F(Message, AmbiguousFramingIsRefused)
 {
@@ -98,11 +98,11 @@
 }
 
 /*
- * Symptom: a caller gets a success with half a body. Sequence: a target's
- * connection ends in the middle of an answer. Cause: the end of the stream was
- * taken for the end of the answer.
+ * Guards against a success with half a body: a target's connection ends in the
+ * middle of a response, and the end of the stream is taken for the end of the
+ * response.
  */
-TEST_F(Message, ACutAnswerIsNotComplete)
+TEST_F(Message, ATruncatedResponseIsNotComplete)
 {
 	start(HTTP_RESPONSE);
 	feed("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -112,7 +112,7 @@
 	EXPECT_FALSE(message_end_of_stream(&msg));
 }
 
-TEST_F(Message, AnAnswerWithoutALengthEndsWithItsStream)
+TEST_F(Message, AResponseWithoutALengthEndsWithItsStream)
 {
 	start(HTTP_RESPONSE);
 	feed("HTTP/1.1 200 OK\r\n\r\nall of it");
@@ -122,7 +122,7 @@
 	EXPECT_EQ(body(), "all of it");
 }
 
-TEST_F(Message, NoBodyFollowsTheAnswerToHead)
+TEST_F(Message, AResponseToHeadHasNoBody)
 {
 	start(HTTP_RESPONSE);
 	msg.head_only = true;
