--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -1,4 +1,4 @@
-/* What this VM says of the fleet and of itself: lookups, readiness, metrics. */
+/* HTTP endpoints of this VM: lookups of entry VMs, readiness and metrics. */
 #include "endpoints.h"
 
 #include <arpa/inet.h>
@@ -13,13 +13,16 @@
 #include "spread.h"
 #include "times.h"
 
-#define ADDRESSES_MOST 64
-/* Callers are sent to VMs of their own data centre while it has so many: then
- * the loss of one leaves others, and bodies cross no data centre twice. */
-#define OWN_CENTRE_LEAST 2
+#define MAX_ADDRESSES 64
+/*
+ * A lookup lists only VMs of the caller's data centre if it has at least this
+ * many: the loss of one then leaves others, and bodies do not cross between
+ * data centres twice.
+ */
+#define MIN_OWN_CENTRE 2
 
-static void answer_text(struct caller *caller, int status, const char *type,
-			const char *text)
+static void reply_text(struct caller *caller, int status, const char *type,
+		       const char *text)
 {
 	g_autofree char *headers =
 		g_strdup_printf("Content-Type: %s\r\n", type);
@@ -41,8 +44,11 @@
 	return len == strlen(path) && !strncmp(target, path, len);
 }
 
-/* A value of the query, unescaped; NULL when it is not there. */
-static char *query(const struct caller *caller, const char *name)
+/*
+ * Returns the unescaped value of a query parameter, or NULL if it is absent.
+ * The caller frees it with g_free.
+ */
+static char *query_value(const struct caller *caller, const char *name)
 {
 	const char *at = strchr(message_target(&caller->in), '?');
 	size_t len = strlen(name);
@@ -57,17 +63,23 @@
 	return NULL;
 }
 
-static unsigned list(struct entry *e, const char *centre, char **out,
-		     unsigned most)
+/*
+ * Lists up to max addresses of VMs that take callers, of one data centre or of
+ * any if centre is NULL. Returns how many; the caller frees each address.
+ */
+static unsigned list_vms(struct entry *e, const char *centre, char **out,
+			 unsigned max)
 {
 	const struct tr_membership *m = &e->members;
 	const char *port = strrchr(e->settings->front, ':');
-	/* From a random one on, since there may be more than can be named. */
+	/*
+	 * Start at random, since there may be more VMs than fit into the list.
+	 */
 	unsigned start = tr_random_below(&e->random, m->count);
 	apr_time_t now = entry_now(e);
 	unsigned n = 0;
 
-	for (unsigned i = 0; i < m->count && n < most; i++) {
+	for (unsigned i = 0; i < m->count && n < max; i++) {
 		const struct tr_node *node = &m->nodes[(start + i) % m->count];
 		char ip[INET_ADDRSTRLEN];
 
@@ -80,7 +92,7 @@
 	return n;
 }
 
-static void free_list(char **out, unsigned n)
+static void free_addresses(char **out, unsigned n)
 {
 	for (unsigned i = 0; i < n; i++)
 		g_free(out[i]);
@@ -89,29 +101,29 @@
 static void lookup(void *ctx, struct caller *caller)
 {
 	struct entry *e = ctx;
-	char *out[ADDRESSES_MOST];
+	char *out[MAX_ADDRESSES];
 	g_autofree char *centre = NULL;
 	auto_free char *text = NULL;
 	unsigned n;
 
 	if (!path_is(caller, e->dialect->lookup_path)) {
-		answer_text(caller, 404, "text/plain", "no such call\n");
+		reply_text(caller, 404, "text/plain", "no such call\n");
 		return;
 	}
 	e->counts.lookups++;
-	centre = query(caller, e->dialect->lookup_data_centre_param);
-	n = list(e, centre, out, ADDRESSES_MOST);
-	if (n < OWN_CENTRE_LEAST) {
-		free_list(out, n);
-		n = list(e, NULL, out, ADDRESSES_MOST);
+	centre = query_value(caller, e->dialect->lookup_data_centre_param);
+	n = list_vms(e, centre, out, MAX_ADDRESSES);
+	if (n < MIN_OWN_CENTRE) {
+		free_addresses(out, n);
+		n = list_vms(e, NULL, out, MAX_ADDRESSES);
 	}
-	/* A VM that knows of nobody names itself, rather than nobody. */
+	/* A VM that knows of no other lists itself rather than nothing. */
 	if (!n)
 		out[n++] = g_strdup(e->settings->front);
 	text = e->dialect->format_lookup_reply(out, n,
 					       e->settings->keep_most_us);
-	free_list(out, n);
-	answer_text(caller, 200, "application/json", text);
+	free_addresses(out, n);
+	reply_text(caller, 200, "application/json", text);
 }
 
 static void readiness(void *ctx, struct caller *caller)
@@ -119,11 +131,11 @@
 	struct entry *e = ctx;
 
 	if (!path_is(caller, e->dialect->readiness_path))
-		answer_text(caller, 404, "text/plain", "no such call\n");
+		reply_text(caller, 404, "text/plain", "no such call\n");
 	else if (entry_takes_callers(e))
-		answer_text(caller, 200, "text/plain", "ready\n");
+		reply_text(caller, 200, "text/plain", "ready\n");
 	else
-		answer_text(caller, 503, "text/plain", "not ready\n");
+		reply_text(caller, 503, "text/plain", "not ready\n");
 }
 
 static void metrics(void *ctx, struct caller *caller)
@@ -181,7 +193,7 @@
 				       "toucanreel_entry_%s %" PRIu64 "\n",
 				       rows[i].name, rows[i].value);
 	times_print(e, text);
-	answer_text(caller, 200, "text/plain", text->str);
+	reply_text(caller, 200, "text/plain", text->str);
 	g_string_free(text, TRUE);
 }
 
--- a/entry/endpoints.h
+++ b/entry/endpoints.h
@@ -1,6 +1,7 @@
 #ifndef ENDPOINTS_H
 #define ENDPOINTS_H
 
+/* HTTP endpoints for lookups, readiness and metrics. */
 #include "entry.h"
 
 extern const struct listener_callbacks endpoints_directory;
--- a/entry/eventlog.c
+++ b/entry/eventlog.c
@@ -1,7 +1,8 @@
 /*
- * One line a decision, as key=value, on standard output. Lines are gathered and
- * written at each turn of the loop; when the reader of the pipe stalls they are
- * dropped and counted, because a process that waits for its log serves nobody.
+ * Event log: one line of key=value pairs per decision, on standard output.
+ * Lines are buffered and written once per turn of the event loop. When the
+ * reader of the pipe stalls they are dropped and counted, because a process
+ * that blocks on its log serves no requests.
  */
 #include "eventlog.h"
 
@@ -17,25 +18,31 @@
 #include <unistd.h>
 
 #define LINE_MAX_BYTES 768
-#define GATHERED_MOST  65536
+#define BUFFER_SIZE    65536
 
 static struct {
 	char vm[64];
-	char buf[GATHERED_MOST];
+	char buf[BUFFER_SIZE];
 	size_t len;
-	uint64_t left_out[EVENT_CLASSES];
-	uint64_t reported_left_out;
+	uint64_t dropped[EVENT_CLASSES];
+	uint64_t reported_dropped;
 } state;
 
-static const char *const class_words[EVENT_CLASSES] = { "life", "failure",
+static const char *const class_names[EVENT_CLASSES] = { "life", "failure",
 							"belief", "request" };
 
-/* Bytes a class may fill the buffer to: requests leave room for the rest. */
-static const size_t room[EVENT_CLASSES] = { GATHERED_MOST, GATHERED_MOST,
-					    GATHERED_MOST * 3 / 4,
-					    GATHERED_MOST / 2 };
+/*
+ * How full a line of each class may make the buffer, in bytes. Lines of
+ * requests leave space for the other classes.
+ */
+static const size_t class_limit[EVENT_CLASSES] = { BUFFER_SIZE, BUFFER_SIZE,
+						   BUFFER_SIZE * 3 / 4,
+						   BUFFER_SIZE / 2 };
 
-/* Name the process in each line, and never wait for the reader. */
+/*
+ * Sets the name of this VM that each line carries. Makes a pipe on standard
+ * output non-blocking, so that a slow reader never delays the process.
+ */
 void eventlog_setup(const char *vm)
 {
 	struct stat st;
@@ -46,13 +53,16 @@
 		fcntl(STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
 
-static void put(const char *text, size_t len)
+static void append(const char *text, size_t len)
 {
 	memcpy(state.buf + state.len, text, len);
 	state.len += len;
 }
 
-/* Write one line; see the header for what is left out under load. */
+/*
+ * Buffers one line; drops and counts it if the buffer is too full for its
+ * class.
+ */
 void eventlog(enum event_class class, const char *event, const char *fmt, ...)
 {
 	char line[LINE_MAX_BYTES];
@@ -65,7 +75,7 @@
 	n = snprintf(line, sizeof(line),
 		     "time=%" PRId64 ".%06ld vm=%s class=%s event=%s ",
 		     (int64_t)wall.tv_sec, wall.tv_nsec / 1000, state.vm,
-		     class_words[class], event);
+		     class_names[class], event);
 	va_start(ap, fmt);
 	m = vsnprintf(line + n, sizeof(line) - (size_t)n - 1, fmt, ap);
 	va_end(ap);
@@ -73,19 +83,20 @@
 	if (n > (int)sizeof(line) - 2)
 		n = (int)sizeof(line) - 2;
 	line[n++] = '\n';
-	if (state.len + (size_t)n > room[class]) {
-		state.left_out[class]++;
+	if (state.len + (size_t)n > class_limit[class]) {
+		state.dropped[class]++;
 		return;
 	}
-	put(line, (size_t)n);
+	append(line, (size_t)n);
 }
 
+/* Returns how many lines of the class were dropped. */
 uint64_t eventlog_dropped(enum event_class class)
 {
-	return state.left_out[class];
+	return state.dropped[class];
 }
 
-/* Write what was gathered, as far as the reader takes it. */
+/* Writes as much of the buffer as standard output takes. */
 void eventlog_flush(void)
 {
 	ssize_t n;
--- a/entry/eventlog.h
+++ b/entry/eventlog.h
@@ -3,11 +3,11 @@
 
 #include <stdint.h>
 
-/* What a line is about; under load the last kinds are left out first. */
+/* Class of a line. Under load, the later classes are dropped first. */
 enum event_class {
-	EVENT_LIFE,
+	EVENT_LIFE, /* start, stop and reload of this process */
 	EVENT_FAILURE,
-	EVENT_BELIEF,
+	EVENT_BELIEF, /* a change in what this VM assumes of the fleet */
 	EVENT_REQUEST,
 	EVENT_CLASSES,
 };
--- a/entry/idle.c
+++ b/entry/idle.c
@@ -1,6 +1,8 @@
-/* Log lines on targets that serve and get no requests: what this VM believes of
- * them, which tells why none of the fleet's requests went there, and what the
- * floor asks for. */
+/*
+ * Logs targets that serve but get no requests, with what this VM assumes of
+ * them, which tells why the fleet sent none there; and services whose targets
+ * in use are fewer than the floor asks for.
+ */
 #include "idle.h"
 
 #include <glib.h>
@@ -10,40 +12,46 @@
 #include "eventlog.h"
 #include "hash.h"
 
-/* A target without a request for so long is worth a line: the span over which
- * operators look at the floor. */
-#define IDLE_FOR TR_SEC(2)
-/* How often all targets are looked at. */
+/*
+ * A target without a request for this long is logged: the span over which
+ * operators measure the floor.
+ */
+#define IDLE_AFTER TR_SEC(2)
+/* How often all targets are checked. */
 #define LOOK_EVERY TR_MSEC(200)
-/* How often the floor of all services is looked at. */
-#define FLOOR_EVERY TR_SEC(1)
-/* VMs that write a line on the same target or service. */
-#define WRITERS 2
-
-/* Is this VM one of those that write on what has this hash? They are drawn, so
- * that the number of lines doesn't grow with the fleet. */
-static bool is_writer(const struct tr_membership *m, uint64_t hash,
-		      apr_time_t now)
+/* How often the floor of all services is checked. */
+#define FLOOR_LOG_PERIOD TR_SEC(1)
+/* VMs that log the same target or service. */
+#define LOGGING_VMS 2
+
+/*
+ * Returns whether this VM logs the target or service with this hash. VMs are
+ * chosen by rendezvous hashing, so that the number of lines does not grow with
+ * the fleet.
+ */
+static bool is_logging_vm(const struct tr_membership *m, uint64_t hash,
+			  apr_time_t now)
 {
-	uint64_t own = tr_hash_pair(m->nodes[0].ip, hash);
-	unsigned before = 0;
+	uint64_t own_rank = tr_hash_pair(m->nodes[0].ip, hash);
+	unsigned ahead = 0;
 
-	for (unsigned i = 1; i < m->count && before < WRITERS; i++) {
+	for (unsigned i = 1; i < m->count && ahead < LOGGING_VMS; i++) {
 		const struct tr_node *node = &m->nodes[i];
 
-		before += node->near && tr_hash_pair(node->ip, hash) < own &&
-			  tr_node_alive(m, node, now);
+		ahead += node->near &&
+			 tr_hash_pair(node->ip, hash) < own_rank &&
+			 tr_node_alive(m, node, now);
 	}
-	return before < WRITERS;
+	return ahead < LOGGING_VMS;
 }
 
-/* How long ago, in ms; -1 for never. */
+/* Returns the milliseconds since a time, or -1 if it never came. */
 static long ms_ago(apr_time_t at, apr_time_t now)
 {
 	return at ? (long)((now - at) / 1000) : -1;
 }
 
-static const char *const standing_words[] = {
+static const char *const standing_names[] = {
 	[TR_FLOOR_ACTIVE] = "at-work",
 	[TR_FLOOR_FAILED_LATELY] = "failed-lately",
 	[TR_FLOOR_NEW] = "new",
@@ -51,13 +59,15 @@
 	[TR_FLOOR_IDLE] = "idle",
 };
 
-/* Targets of a service that got nothing for the operators' span, by how they
- * stand with the floor. */
-struct unasked {
+/*
+ * Targets of a service that had no request for IDLE_AFTER, counted by their
+ * standing with the floor.
+ */
+struct idle_targets {
 	unsigned count[TR_FLOOR_IDLE + 1];
 };
 
-/* What came of the service's requests lately. */
+/* Returns the outcomes and the rate of the service's recent requests. */
 static struct tr_floor_load load_of(struct entry *e, uint32_t service,
 				    apr_time_t now)
 {
@@ -71,9 +81,9 @@
 	};
 }
 
-/* Begin to look at a service as requests that must run once do. */
-static void begin_check(struct tr_floor_check *check, struct entry *e,
-			uint32_t service, apr_time_t now)
+/* Initializes a floor check as for requests that must run only once. */
+static void init_check(struct tr_floor_check *check, struct entry *e,
+		       uint32_t service, apr_time_t now)
 {
 	const struct tr_floor_load load = load_of(e, service, now);
 
@@ -86,7 +96,7 @@
 {
 	struct tr_floor_check check;
 
-	begin_check(&check, e, row->service, now);
+	init_check(&check, e, row->service, now);
 	eventlog(EVENT_BELIEF, "target-idle",
 		 "id=%s service=%s risk=%.2f used_ms=%ld failed_ms=%ld "
 		 "known_ms=%ld in_flight=%u others_in_flight=%u full=%d "
@@ -98,28 +108,30 @@
 		 row->others_in_flight, row->full_until > now,
 		 row->unreachable_until > now, row->backoff_until > now,
 		 tr_roster_limit(&e->roster, row) != NULL,
-		 standing_words[tr_floor_target_state(&check, row, now)]);
+		 standing_names[tr_floor_target_state(&check, row, now)]);
 }
 
-static const char *const verdict_words[] = {
+static const char *const verdict_names[] = {
 	[TR_FLOOR_ENOUGH] = "enough",
 	[TR_FLOOR_FEW_REQUESTS] = "few-requests",
 	[TR_FLOOR_SHORT] = "short",
 };
 
-static bool any_unasked(const struct unasked *unasked)
+static bool any_idle(const struct idle_targets *idle_targets)
 {
-	for (unsigned i = 0; i < G_N_ELEMENTS(unasked->count); i++)
-		if (unasked->count[i])
+	for (unsigned i = 0; i < G_N_ELEMENTS(idle_targets->count); i++)
+		if (idle_targets->count[i])
 			return true;
 	return false;
 }
 
-/* Say what the floor asks for of a service that is short of it, or of which a
- * target got nothing, and what holds those back. */
+/*
+ * Logs what the floor asks for if the service is short of it or has idle
+ * targets, with the reasons that keep those idle.
+ */
 static void log_floor(struct entry *e, uint32_t service,
 		      const struct tr_floor_check *check,
-		      const struct unasked *unasked, apr_time_t now)
+		      const struct idle_targets *idle_targets, apr_time_t now)
 {
 	const struct tr_service_stats *svc = &e->roster.services[service];
 	const struct tr_floor_load load = load_of(e, service, now);
@@ -127,33 +139,36 @@
 	enum tr_floor_verdict verdict = tr_floor_verdict(
 		check, e->settings->bounds.floor_share, &load, &missing);
 
-	if ((verdict == TR_FLOOR_ENOUGH && !any_unasked(unasked)) ||
-	    !is_writer(&e->members, tr_hash_string(svc->name), now))
+	if ((verdict == TR_FLOOR_ENOUGH && !any_idle(idle_targets)) ||
+	    !is_logging_vm(&e->members, tr_hash_string(svc->name), now))
 		return;
 	eventlog(EVENT_BELIEF,
 		 verdict == TR_FLOOR_ENOUGH ? "floor-enough" : "floor-short",
 		 "service=%s verdict=%s missing=%.1f at_work=%.1f at_rest=%.1f "
 		 "idle=%.1f idle_fitting=%u ended=%.1f failing=%.3f rate=%.1f "
 		 "unasked_idle=%u unasked_in_flight=%u unasked_failed=%u",
-		 svc->name, verdict_words[verdict], missing, check->active,
+		 svc->name, verdict_names[verdict], missing, check->active,
 		 check->active_unloaded, check->idle_healthy, check->idle_count,
 		 load.outcomes, load.failure_ratio, load.rate,
-		 unasked->count[TR_FLOOR_IDLE],
-		 unasked->count[TR_FLOOR_IN_FLIGHT],
-		 unasked->count[TR_FLOOR_FAILED_LATELY]);
+		 idle_targets->count[TR_FLOOR_IDLE],
+		 idle_targets->count[TR_FLOOR_IN_FLIGHT],
+		 idle_targets->count[TR_FLOOR_FAILED_LATELY]);
 }
 
-/* Look at the floor of all services, as requests that must run once do. */
-static void look_at_floors(struct entry *e, apr_time_t now)
+/*
+ * Checks the floor of all services as for requests that must run only once, and
+ * logs those that need attention.
+ */
+static void log_floors(struct entry *e, apr_time_t now)
 {
 	struct tr_roster *roster = &e->roster;
 	g_autofree struct tr_floor_check *checks =
 		g_new0(struct tr_floor_check, roster->services_count);
-	g_autofree struct unasked *unasked =
-		g_new0(struct unasked, roster->services_count);
+	g_autofree struct idle_targets *idle_targets =
+		g_new0(struct idle_targets, roster->services_count);
 
 	for (uint32_t s = 0; s < roster->services_count; s++)
-		begin_check(&checks[s], e, s, now);
+		init_check(&checks[s], e, s, now);
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
 
@@ -163,32 +178,35 @@
 		tr_floor_check_add(&checks[row->service], row, i,
 				   tr_gray_probability(&row->gray, now),
 				   row->full_until <= now, now);
-		if (now - row->used_at >= IDLE_FOR)
-			unasked[row->service].count[tr_floor_target_state(
+		if (now - row->used_at >= IDLE_AFTER)
+			idle_targets[row->service].count[tr_floor_target_state(
 				&checks[row->service], row, now)]++;
 	}
 	for (uint32_t s = 0; s < roster->services_count; s++)
-		log_floor(e, s, &checks[s], &unasked[s], now);
+		log_floor(e, s, &checks[s], &idle_targets[s], now);
 }
 
-/* Look for targets of this group that have become idle. */
+/*
+ * Logs each target of this group once when it becomes idle, and the floor of
+ * the services. Called at every step of the event loop.
+ */
 void idle_step(struct entry *e, apr_time_t now)
 {
 	if (now - e->idle_checked_at < LOOK_EVERY)
 		return;
 	e->idle_checked_at = now;
-	if (now - e->floors_logged_at >= FLOOR_EVERY) {
+	if (now - e->floors_logged_at >= FLOOR_LOG_PERIOD) {
 		e->floors_logged_at = now;
-		look_at_floors(e, now);
+		log_floors(e, now);
 	}
 	for (unsigned i = 0; i < e->roster.count; i++) {
 		struct tr_instance *row = &e->roster.rows[i];
 		bool is_idle = row->used && !row->gone && !row->leaving &&
-			       !row->away && now - row->used_at >= IDLE_FOR &&
-			       now - row->known_since >= IDLE_FOR;
+			       !row->away && now - row->used_at >= IDLE_AFTER &&
+			       now - row->known_since >= IDLE_AFTER;
 
 		if (is_idle && !row->idle_logged &&
-		    is_writer(&e->members, row->hash, now))
+		    is_logging_vm(&e->members, row->hash, now))
 			log_idle(e, row, now);
 		row->idle_logged = is_idle;
 	}
--- a/entry/repeat.c
+++ b/entry/repeat.c
@@ -1,31 +1,39 @@
-/* Repeats of requests, of whatever cause: whether the fleet's bound allows one
- * more, and log lines on what this VM holds of the bound. */
+/*
+ * Applies the fleet's bound on repeats to requests that are sent to one more
+ * target, for whatever reason, and logs this VM's share of the bound.
+ */
 #include "repeat.h"
 
 #include "eventlog.h"
 #include "mesh.h"
 
-/* How often a service that wants repeats is logged. */
-#define LOG_EVERY TR_SEC(1)
-/* How long after its start a VM knows how many there are. */
-#define SIZE_KNOWN_AFTER TR_SEC(1)
+/* How often a service with new repeats is logged. */
+#define LOG_PERIOD TR_SEC(1)
+/* A VM that starts knows the size of the fleet after this time. */
+#define FLEET_SIZE_KNOWN_AFTER TR_SEC(1)
 
-/* How long ago the VM of the group that has been silent longest was heard. */
-static apr_time_t oldest_news(const struct tr_membership *m, apr_time_t now)
+/*
+ * Returns how long ago the live VM of this group that has been silent longest
+ * was last heard, or 0.
+ */
+static apr_time_t longest_silence(const struct tr_membership *m, apr_time_t now)
 {
-	apr_time_t oldest = 0;
+	apr_time_t longest = 0;
 
 	for (unsigned i = 1; i < m->count; i++) {
 		const struct tr_node *node = &m->nodes[i];
 
 		if (node->near && tr_node_alive(m, node, now) &&
-		    now - node->heard_at > oldest)
-			oldest = now - node->heard_at;
+		    now - node->heard_at > longest)
+			longest = now - node->heard_at;
 	}
-	return oldest;
+	return longest;
 }
 
-/* May a request be sent to one more target? If so, it is counted. */
+/*
+ * Returns whether the bound allows one more repeat for the service, and counts
+ * it if so.
+ */
 bool repeat_admit(struct entry *e, uint32_t service)
 {
 	apr_time_t now = entry_now(e);
@@ -57,29 +65,33 @@
 		 sums.requests, sums.repeats, sums.own_requests,
 		 sums.own_repeats, a->bucket.tokens, a->unreported,
 		 e->repeat_bound.vms, tr_membership_recent_share(m, now),
-		 (long)(oldest_news(m, now) / 1000),
+		 (long)(longest_silence(m, now) / 1000),
 		 (long)((now - e->started_at) / 1000));
 }
 
-/* Among how many VMs the slack is divided. Until this VM has heard others it
- * can't know. */
+/*
+ * Returns the number of VMs that share the slack of the bound, or 0 until this
+ * VM has heard others and can know it.
+ */
 static unsigned slack_vms(const struct entry *e, apr_time_t now)
 {
 	const struct tr_membership *m = &e->members;
 
 	if (m->count > 1 &&
-	    (!m->heard_any || now - e->started_at < SIZE_KNOWN_AFTER))
+	    (!m->heard_any || now - e->started_at < FLEET_SIZE_KNOWN_AFTER))
 		return 0;
 	return tr_membership_size(m);
 }
 
-/* Follow the size of the fleet, and log what this VM holds of the bound for
- * services that wanted repeats since the last line. */
+/*
+ * Updates the bound with the size of the fleet, and logs each service for which
+ * repeats were sent or denied since its last line.
+ */
 void repeat_step(struct entry *e, apr_time_t now)
 {
 	e->repeat_bound.vms = slack_vms(e, now);
 	e->repeat_bound.heard = e->members.near_count;
-	if (now - e->repeats_logged_at < LOG_EVERY)
+	if (now - e->repeats_logged_at < LOG_PERIOD)
 		return;
 	e->repeats_logged_at = now;
 	for (uint32_t i = 0; i < e->allowances_count; i++) {
--- a/entry/stream.c
+++ b/entry/stream.c
@@ -10,12 +10,17 @@
 #include <unistd.h>
 
 #define READ_SIZE 65536
-/* A peer that takes nothing for so long is gone: a partition says nothing. The
- * callers' shortest deadlines are a few seconds. */
-#define UNTAKEN_MS 5000
-#define BACKLOG	   1024
+/*
+ * TCP_USER_TIMEOUT. A peer that acknowledges nothing for this long counts as
+ * lost, because a network partition sends no reset. The shortest deadlines of
+ * callers are a few seconds.
+ */
+#define USER_TIMEOUT_MS 5000
+#define BACKLOG		1024
 
-/* "1.2.3.4:567" as an address. 0 or -1. */
+/*
+ * Parses an address such as "1.2.3.4:567". Returns 0, or -1 if it is malformed.
+ */
 int stream_parse_address(const char *text, struct sockaddr_in *addr)
 {
 	const char *colon = text ? strrchr(text, ':') : NULL;
@@ -37,7 +42,7 @@
 	return 0;
 }
 
-/* A listening socket, or -1 with errno. */
+/* Returns a listening socket, or -1 with errno set. */
 int stream_listen(const char *address)
 {
 	struct sockaddr_in addr;
@@ -59,16 +64,17 @@
 	return -1;
 }
 
-static void ready(void *ctx, int fd, int events);
+static void on_ready(void *ctx, int fd, int events);
 
 static void watch(struct stream *s)
 {
 	int events = LOOP_READ | (s->wants_write ? LOOP_WRITE : 0);
 
-	loop_watch(s->loop, s->fd, events, ready, s);
+	loop_watch(s->loop, s->fd, events, on_ready, s);
 }
 
-static void end(struct stream *s, enum stream_end why)
+/* Closes the stream and then tells its owner why. */
+static void end_stream(struct stream *s, enum stream_end why)
 {
 	const struct stream_callbacks *calls = s->calls;
 	void *ctx = s->ctx;
@@ -86,31 +92,31 @@
 }
 
 /*
- * Write what waits. A stream that can't be written any more is reported by its
- * reading side, so that no call comes while its owner is in the middle of a
- * write.
+ * Sends as much of the output buffer as the socket takes. A write error is
+ * reported only through the next read, so that no callback runs while the owner
+ * is in the middle of a write.
  */
-static void flush(struct stream *s)
+static void flush_output(struct stream *s)
 {
-	while (s->out_at < s->out->len) {
-		ssize_t n = send(s->fd, s->out->data + s->out_at,
-				 s->out->len - s->out_at, MSG_NOSIGNAL);
+	while (s->out_offset < s->out->len) {
+		ssize_t n = send(s->fd, s->out->data + s->out_offset,
+				 s->out->len - s->out_offset, MSG_NOSIGNAL);
 
 		if (n < 0 && (errno == EAGAIN || errno == EINTR))
 			break;
 		if (n < 0) {
-			s->out_at = s->out->len;
+			s->out_offset = s->out->len;
 			break;
 		}
-		s->out_at += (size_t)n;
+		s->out_offset += (size_t)n;
 		s->sent += (uint64_t)n;
 	}
-	if (s->out_at < s->out->len) {
+	if (s->out_offset < s->out->len) {
 		want_write(s, true);
 		return;
 	}
 	g_byte_array_set_size(s->out, 0);
-	s->out_at = 0;
+	s->out_offset = 0;
 	want_write(s, false);
 }
 
@@ -122,7 +128,7 @@
 	getsockopt(s->fd, SOL_SOCKET, SO_ERROR, &err, &len);
 	if (err) {
 		s->refused = err == ECONNREFUSED;
-		end(s, STREAM_UNREACHED);
+		end_stream(s, STREAM_CONNECT_FAILED);
 		return;
 	}
 	s->connecting = false;
@@ -138,12 +144,12 @@
 	if (n > 0)
 		s->calls->received(s->ctx, buf, (size_t)n);
 	else if (!n)
-		end(s, STREAM_CLOSED);
+		end_stream(s, STREAM_CLOSED);
 	else if (errno != EAGAIN && errno != EINTR)
-		end(s, STREAM_RESET);
+		end_stream(s, STREAM_RESET);
 }
 
-static void ready(void *ctx, int fd, int events)
+static void on_ready(void *ctx, int fd, int events)
 {
 	struct stream *s = ctx;
 
@@ -153,7 +159,7 @@
 		return;
 	}
 	if (events & LOOP_WRITE && !stream_is_drained(s)) {
-		flush(s);
+		flush_output(s);
 		if (stream_is_drained(s) && s->calls->drained) {
 			s->calls->drained(s->ctx);
 			return;
@@ -168,15 +174,15 @@
 static void set_options(int fd)
 {
 	int one = 1;
-	int untaken = UNTAKEN_MS;
+	int user_timeout = USER_TIMEOUT_MS;
 
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof(one));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &untaken,
-		   sizeof(untaken));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &user_timeout,
+		   sizeof(user_timeout));
 }
 
-static int start(struct stream *s, struct loop *loop, int fd,
-		 const struct stream_callbacks *calls, void *ctx)
+static int init_stream(struct stream *s, struct loop *loop, int fd,
+		       const struct stream_callbacks *calls, void *ctx)
 {
 	memset(s, 0, sizeof(*s));
 	s->loop = loop;
@@ -188,8 +194,11 @@
 	return 0;
 }
 
-/* Begin to connect; calls->connected or ended follows. 0; or -1, and refused
- * says whether nobody listens there. */
+/*
+ * Starts to connect, from the address from_ip unless it is NULL. The connected
+ * or ended callback follows. Returns 0; or -1, with s->refused set if nothing
+ * listens at the peer.
+ */
 int stream_connect(struct stream *s, struct loop *loop,
 		   const struct sockaddr_in *to, const char *from_ip,
 		   const struct stream_callbacks *calls, void *ctx)
@@ -211,46 +220,48 @@
 		close(fd);
 		return -1;
 	}
-	start(s, loop, fd, calls, ctx);
+	init_stream(s, loop, fd, calls, ctx);
 	s->connecting = true;
 	s->wants_write = true;
 	watch(s);
 	return 0;
 }
 
-/* Take over a socket that was accepted. */
+/* Initializes the stream with an accepted socket. */
 int stream_adopt(struct stream *s, struct loop *loop, int fd,
 		 const struct stream_callbacks *calls, void *ctx)
 {
-	start(s, loop, fd, calls, ctx);
+	init_stream(s, loop, fd, calls, ctx);
 	watch(s);
 	return 0;
 }
 
-/* Send, now or as soon as the peer takes it. */
+/* Sends data, and buffers what the socket does not take now. */
 void stream_write(struct stream *s, const void *data, size_t len)
 {
 	if (s->fd < 0)
 		return;
 	g_byte_array_append(s->out, data, (guint)len);
 	if (!s->connecting)
-		flush(s);
+		flush_output(s);
 }
 
+/* Returns whether the output buffer is empty. */
 bool stream_is_drained(const struct stream *s)
 {
-	return s->fd < 0 || s->out_at == s->out->len;
+	return s->fd < 0 || s->out_offset == s->out->len;
 }
 
-/* Read on, after the loop was told not to watch. */
+/*
+ * Resumes reading, after the owner had told the loop not to watch the socket.
+ */
 void stream_resume(struct stream *s)
 {
 	if (s->fd >= 0)
 		watch(s);
 }
 
-/* Hand the connection on to another owner. from is as if it had been closed.
- */
+/* Moves the connection to another owner, and leaves from as if closed. */
 void stream_move(struct stream *to, struct stream *from,
 		 const struct stream_callbacks *calls, void *ctx)
 {
@@ -263,6 +274,7 @@
 	watch(to);
 }
 
+/* Closes the connection. No callback runs after this. */
 void stream_close(struct stream *s)
 {
 	if (s->fd < 0 || !s->out)
--- a/entry/stream.h
+++ b/entry/stream.h
@@ -1,39 +1,40 @@
 #ifndef STREAM_H
 #define STREAM_H
 
+/* Non-blocking TCP connections on the event loop, with buffered output. */
 #include <glib.h>
 #include <netinet/in.h>
 #include <stdbool.h>
 
 #include "loop.h"
 
-/* Why a stream ended, as seen from here. */
+/* Why a stream ended. */
 enum stream_end {
-	STREAM_CLOSED,
-	STREAM_RESET,
-	STREAM_UNREACHED,
+	STREAM_CLOSED, /* by the peer, in order */
+	STREAM_RESET,  /* with an error */
+	STREAM_CONNECT_FAILED,
 };
 
+/* Callbacks of a stream's owner. connected and drained may be NULL. */
 struct stream_callbacks {
 	void (*connected)(void *ctx);
 	void (*received)(void *ctx, const char *data, size_t len);
 	void (*ended)(void *ctx, enum stream_end why);
-	void (*drained)(void *ctx);
+	void (*drained)(void *ctx); /* all output was sent */
 };
 
-/* A TCP connection on the loop; refused: nobody listens at its other end. None
- * of its calls comes after stream_close. */
+/* A TCP connection. No callback runs after stream_close(). */
 struct stream {
 	struct loop *loop;
 	const struct stream_callbacks *calls;
 	void *ctx;
 	int fd;
 	bool connecting;
-	bool refused;
-	bool wants_write;
-	GByteArray *out;
-	size_t out_at;
-	uint64_t sent;
+	bool refused;	   /* nothing listened at the peer */
+	bool wants_write;  /* the loop watches for writability */
+	GByteArray *out;   /* output buffer */
+	size_t out_offset; /* bytes of out that were sent */
+	uint64_t sent;	   /* bytes, since it was opened */
 };
 
 int stream_connect(struct stream *s, struct loop *loop,
--- a/entry/times.c
+++ b/entry/times.c
@@ -1,4 +1,7 @@
-/* Latency histograms of this VM, by service, kind, outcome and cause. */
+/*
+ * Latency histograms of this VM by service, kind, outcome and cause, in the
+ * text format of Prometheus.
+ */
 #include "times.h"
 
 #include <inttypes.h>
@@ -6,22 +9,22 @@
 
 #include "entry.h"
 
-#define NAME "toucanreel_entry_request_seconds"
+#define METRIC_NAME "toucanreel_entry_request_seconds"
 
-static const char *const kind_words[] = {
+static const char *const kind_names[] = {
 	[TR_KIND_SAFE] = "safe",
 	[TR_KIND_UNSAFE] = "unsafe",
 	[TR_KIND_UPLOAD] = "upload",
 };
 
-/* How logs and metrics name a kind of request. */
+/* Returns the name of a kind of request in logs and metrics. */
 const char *times_kind_name(enum tr_kind kind)
 {
-	return kind_words[kind];
+	return kind_names[kind];
 }
 
-/* What the end was for the caller. */
-static const char *outcome_word(const struct times_row *row)
+/* Returns the outcome from the caller's point of view. */
+static const char *outcome_name(const struct times_row *row)
 {
 	if (!strcmp(row->why, "caller-gone"))
 		return "gone";
@@ -30,8 +33,11 @@
 	return row->status_class == 4 ? "rejected" : "unserved";
 }
 
-/* Count one request; what names its row, the histogram in it is not used. */
-void times_add(struct entry *e, const struct times_row *what, apr_time_t took)
+/*
+ * Adds a request's latency to the histogram that key selects, and creates that
+ * if needed. The histogram inside key is ignored.
+ */
+void times_add(struct entry *e, const struct times_row *key, apr_time_t took)
 {
 	struct times_row *row;
 
@@ -39,45 +45,47 @@
 		e->times = g_array_new(FALSE, FALSE, sizeof(struct times_row));
 	for (guint i = 0; i < e->times->len; i++) {
 		row = &g_array_index(e->times, struct times_row, i);
-		if (row->service == what->service && row->kind == what->kind &&
-		    row->status_class == what->status_class &&
-		    row->why == what->why) {
+		if (row->service == key->service && row->kind == key->kind &&
+		    row->status_class == key->status_class &&
+		    row->why == key->why) {
 			tr_histogram_add(&row->took, took);
 			return;
 		}
 	}
-	g_array_append_val(e->times, *what);
+	g_array_append_val(e->times, *key);
 	row = &g_array_index(e->times, struct times_row, e->times->len - 1);
 	memset(&row->took, 0, sizeof(row->took));
 	tr_histogram_add(&row->took, took);
 }
 
-static void print_row(const struct entry *e, const struct times_row *row,
-		      GString *text)
+static void print_histogram(const struct entry *e, const struct times_row *row,
+			    GString *text)
 {
 	g_autofree char *labels = g_strdup_printf(
 		"service=\"%s\",kind=\"%s\",outcome=\"%s\",cause=\"%s\"",
-		e->roster.services[row->service].name, kind_words[row->kind],
-		outcome_word(row), row->why);
-	uint64_t all = tr_histogram_cumulative(&row->took, TR_HISTOGRAM_BOUNDS);
+		e->roster.services[row->service].name, kind_names[row->kind],
+		outcome_name(row), row->why);
+	uint64_t total =
+		tr_histogram_cumulative(&row->took, TR_HISTOGRAM_BOUNDS);
 
 	for (unsigned i = 0; i < TR_HISTOGRAM_BOUNDS; i++)
 		g_string_append_printf(
-			text, NAME "_bucket{%s,le=\"%g\"} %" PRIu64 "\n",
+			text, METRIC_NAME "_bucket{%s,le=\"%g\"} %" PRIu64 "\n",
 			labels, tr_histogram_bound(i),
 			tr_histogram_cumulative(&row->took, i));
 	g_string_append_printf(
 		text,
-		NAME "_bucket{%s,le=\"+Inf\"} %" PRIu64 "\n" NAME
-		     "_sum{%s} %.6f\n" NAME "_count{%s} %" PRIu64 "\n",
-		labels, all, labels, row->took.sum_s, labels, all);
+		METRIC_NAME "_bucket{%s,le=\"+Inf\"} %" PRIu64 "\n" METRIC_NAME
+			    "_sum{%s} %.6f\n" METRIC_NAME "_count{%s} %" PRIu64
+			    "\n",
+		labels, total, labels, row->took.sum_s, labels, total);
 }
 
-/* Append all rows in the usual text form. */
+/* Appends all histograms to text. */
 void times_print(const struct entry *e, GString *text)
 {
-	g_string_append(text, "# TYPE " NAME " histogram\n");
+	g_string_append(text, "# TYPE " METRIC_NAME " histogram\n");
 	for (guint i = 0; e->times && i < e->times->len; i++)
-		print_row(e, &g_array_index(e->times, struct times_row, i),
-			  text);
+		print_histogram(
+			e, &g_array_index(e->times, struct times_row, i), text);
 }
