--- a/entry/entry.c
+++ b/entry/entry.c
@@ -1,4 +1,4 @@
-/* What comes from the store or from another VM goes onto the blackboard. */
+/* Shared state of an entry VM: applies what the store or another VM reports. */
 #include "entry.h"
 
 #include <arpa/inet.h>
@@ -10,25 +10,32 @@
 #include "eventlog.h"
 #include "organisation.h"
 
-/* The loop steps every 25 ms; one that comes so late tells of a pause of the
- * process or its VM. */
-#define PAUSED TR_MSEC(700)
-/* How long requests wait for news after one: a reader's answer and a message's
- * way take a tenth of that. */
-#define HOLD_MOST TR_MSEC(300)
-/* Lines a second, in the mean, of entries that can't be read. */
+/*
+ * The event loop steps every 25 ms. A step that is this late means that the
+ * process or its VM was paused.
+ */
+#define MIN_PAUSE TR_MSEC(700)
+/*
+ * How long requests are held for current data after a pause: an answer to the
+ * reader or a message from another VM takes a tenth of that.
+ */
+#define MAX_HOLD TR_MSEC(300)
+/* Mean rate at which entries that cannot be read are logged. */
 #define REFUSAL_LINES_A_S 2
 
-/* Has the process stood still since the loop's last step? */
+/*
+ * Returns whether the process was paused since the last step of the loop, and
+ * if so begins to hold requests.
+ */
 bool entry_check_pause(struct entry *e, apr_time_t now)
 {
-	if (!e->stepped_at || now - e->stepped_at <= PAUSED)
+	if (!e->stepped_at || now - e->stepped_at <= MIN_PAUSE)
 		return false;
-	e->hold_until = now + HOLD_MOST;
+	e->hold_until = now + MAX_HOLD;
 	return true;
 }
 
-/* Take over the bounds of the settings. */
+/* Applies the bounds of the settings. */
 void entry_apply_bounds(struct entry *e)
 {
 	const struct entry_settings *s = e->settings;
@@ -47,13 +54,15 @@
 	};
 }
 
-/* How long ago the list of targets was last known to be current. */
+/* Returns how long ago the list of targets was last known to be current. */
 apr_time_t entry_view_age(const struct entry *e)
 {
 	return entry_now(e) - e->roster.confirmed_at;
 }
 
-/* May this VM use callers' keys? Where operators don't ask for a proof it may.
+/*
+ * Returns whether this VM may accept callers' keys: it needs a proof that its
+ * configuration is current, unless operators ask for none.
  */
 bool entry_may_use_keys(const struct entry *e)
 {
@@ -64,7 +73,7 @@
 	return tr_proof_holds(&e->proof, s->key_proof_us, entry_now(e));
 }
 
-/* Is this VM ready for callers, whichever way they come? */
+/* Returns whether this VM is ready to serve callers. */
 bool entry_takes_callers(const struct entry *e)
 {
 	return e->ready && !e->leaving && entry_may_use_keys(e);
@@ -81,8 +90,8 @@
 	}
 }
 
-static void put_in_force(struct entry *e, struct tr_routes *routes,
-			 const char *from)
+static void activate_routes(struct entry *e, struct tr_routes *routes,
+			    const char *from)
 {
 	for (unsigned i = 0; i < routes->services_count; i++)
 		routes->services[i].row_index =
@@ -100,8 +109,9 @@
 }
 
 /*
- * A configuration, from wherever. Only a larger revision, of a larger version,
- * comes into force: what an older reader still tells must not take it back.
+ * Applies a configuration from the store or a peer, if its revision and version
+ * are larger than those in force: an outdated reader must not bring back an
+ * older one.
  */
 void entry_apply_routes(struct entry *e, const struct store_item *item,
 			const char *from)
@@ -124,15 +134,15 @@
 			 err.value, err.expected, from);
 		return;
 	}
-	put_in_force(e, routes, from);
+	activate_routes(e, routes, from);
 }
 
 /*
- * An entry that can't be read names no target; the others hold. Lines are few
- * however many there are: a writer that floods the store with nonsense must not
- * push out the lines that tell of requests.
+ * Ignores an entry that cannot be read; those of other targets hold. Log lines
+ * are limited in rate, since a writer that floods the store with malformed
+ * entries must not displace the lines about requests.
  */
-static void refuse_target(struct entry *e, const struct store_item *item,
+static void reject_target(struct entry *e, const struct store_item *item,
 			  const struct tr_target_record *record,
 			  const struct tr_error *err, const char *from)
 {
@@ -152,14 +162,14 @@
 		 from, (guint64)e->counts.targets_refused);
 }
 
-static const char *state_word(const struct tr_target_record *record)
+static const char *state_name(const struct tr_target_record *record)
 {
 	if (record->gone)
 		return "gone";
 	return record->leaving ? "leaving" : "ready";
 }
 
-/* Take in what is said of a target, by the store or a peer. */
+/* Applies a target's record from the store or a peer, and logs a change. */
 void entry_apply_target(struct entry *e, const struct tr_target_record *record,
 			const char *from)
 {
@@ -169,11 +179,14 @@
 		 "id=%s born=%" G_GUINT64_FORMAT " service=%s address=%s "
 		 "state=%s revision=%" G_GUINT64_FORMAT " from=%s",
 		 record->id, (guint64)record->born, record->service,
-		 record->address, state_word(record), (guint64)record->revision,
+		 record->address, state_name(record), (guint64)record->revision,
 		 from);
 }
 
-/* One value of the store. True with the record, where it names a target. */
+/*
+ * Applies one value of the store. Returns true, with the record filled in, if
+ * it describes a target.
+ */
 bool entry_apply_item(struct entry *e, const struct store_item *item,
 		      const char *from, struct tr_target_record *record)
 {
@@ -186,14 +199,17 @@
 	if (!e->dialect->is_target_key(item->key))
 		return false;
 	if (e->dialect->parse_target(item, record, &err)) {
-		refuse_target(e, item, record, &err, from);
+		reject_target(e, item, record, &err, from);
 		return false;
 	}
 	entry_apply_target(e, record, from);
 	return true;
 }
 
-/* The repeats of a service of the roster. */
+/*
+ * Returns the accounting of repeats for a service of the roster, which is
+ * created if needed.
+ */
 struct tr_allowance *entry_allowance(struct entry *e, uint32_t service)
 {
 	if (service >= e->allowances_count) {
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -1,6 +1,10 @@
 #ifndef ENTRY_H
 #define ENTRY_H
 
+/*
+ * The shared state of an entry VM, and what is applied to it from the store and
+ * from peers.
+ */
 #include "allowance.h"
 #include "caller.h"
 #include "clock.h"
@@ -22,13 +26,14 @@
 struct mesh;
 struct reader;
 
+/* Counters of the metrics endpoint. */
 struct entry_counts {
 	uint64_t requests;
-	uint64_t answered;
-	uint64_t refused;
-	uint64_t failed;
+	uint64_t answered; /* replies of targets that were forwarded */
+	uint64_t refused;  /* requests answered with 503 by this VM */
+	uint64_t failed;   /* with another status by this VM */
 	uint64_t repeats;
-	uint64_t resent;
+	uint64_t resent; /* repeats that the bound allowed */
 	uint64_t repeats_denied;
 	uint64_t callers_gone;
 	uint64_t lookups;
@@ -41,22 +46,21 @@
 	uint64_t targets_refused;
 	uint64_t messages_refused;
 	uint64_t reused;
-	uint64_t reused_dead;
+	uint64_t reused_dead; /* idle connections found dead when reused */
 	uint64_t keys_refused;
-	uint64_t unproven;
+	uint64_t unproven; /* refused for want of a proof or of newer routes */
 	uint64_t over_limit;
 	uint64_t fatal;
 	uint64_t notices_refused;
 };
 
 /*
- * The blackboard of an entry VM. settles_at: until when requests under limits
- * wait after its start; repeats_known_since: from when on it knows all repeats
- * that it sent. Writers: reader.c and mesh.c the roster's
- * listing, the routes, their proof and the members; upstream.c the rows' work
- * and evidence; repeat.c the allowances; exchange_identify.c the limits;
- * exchange_fatal.c and mesh_fatal.c the requests under which targets end;
- * kept.c the connections that rest.
+ * The shared state of an entry VM. Each part has its writers: reader.c and
+ * mesh.c write the list of targets in the roster, the routes, their proof and
+ * the members; upstream.c the work and the evidence of the roster's rows;
+ * repeat.c the allowances; exchange_identify.c the limits; exchange_fatal.c and
+ * mesh_fatal.c the requests under which targets end; kept.c the idle
+ * connections.
  */
 struct entry {
 	struct loop *loop;
@@ -75,18 +79,20 @@
 	struct tr_fatals fatals;
 	struct kept kept;
 	uint64_t refused_revision;
-	double split_position;
+	double split_position; /* quasi-random draw of the traffic split */
 	bool leaving;
 	bool ready;
 	apr_time_t stepped_at;
 	apr_time_t idle_checked_at;
 	apr_time_t floors_logged_at;
 	apr_time_t repeats_logged_at;
-	apr_time_t hold_until;
+	apr_time_t hold_until; /* requests are held after a pause */
 	apr_time_t started_at;
+	/* Since when this VM knows of all repeats that it sent. */
 	apr_time_t repeats_known_since;
+	/* Until then requests are held if organisations have limits. */
 	apr_time_t limits_settle_at;
-	GPtrArray *held_callers;
+	GPtrArray *held_callers; /* callers whose requests are held */
 	struct mesh *mesh;
 	struct reader *reader;
 	struct listener front;
--- a/entry/entry_settings.c
+++ b/entry/entry_settings.c
@@ -13,20 +13,25 @@
 #include "yamlfile.h"
 
 #define TEXT_CHARS 256
-/* A VM whose link is not told is taken for one on the thinnest of those that
- * fleets run on. */
-#define LINK_MBPS 10
-/* Where they are not set: the window and the bound that platforms set. */
-#define LIMIT_WINDOW 5000000
-#define KEY_PROOF    5000000
-/* A shorter window can't be kept by VMs that hear of each other after 50 ms. */
-#define LIMIT_WINDOW_LEAST 100000
-#define OPT		   CYAML_FLAG_OPTIONAL
-#define PTR		   CYAML_FLAG_POINTER
-#define SET		   struct entry_settings
-#define BOUNDS		   struct entry_bounds
-
-static const cyaml_schema_value_t word = {
+/*
+ * Bandwidth assumed if the settings give none: the slowest link that fleets run
+ * on.
+ */
+#define DEFAULT_LINK_MBPS 10
+/* Defaults in microseconds: the window and the bound that platforms set. */
+#define DEFAULT_LIMIT_WINDOW 5000000
+#define DEFAULT_KEY_PROOF    5000000
+/*
+ * In microseconds. VMs hear of each other after 50 ms, so they cannot keep a
+ * limit over a shorter window.
+ */
+#define MIN_LIMIT_WINDOW 100000
+#define OPT		 CYAML_FLAG_OPTIONAL
+#define PTR		 CYAML_FLAG_POINTER
+#define SETTINGS	 struct entry_settings
+#define BOUNDS		 struct entry_bounds
+
+static const cyaml_schema_value_t text_schema = {
 	CYAML_VALUE_STRING(PTR, char, 1, TEXT_CHARS),
 };
 
@@ -53,31 +58,34 @@
 	CYAML_FIELD_END,
 };
 
-static const cyaml_schema_field_t fields[] = {
-	CYAML_FIELD_STRING_PTR("name", PTR, SET, name, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("ip", PTR, SET, ip, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("data_centre", PTR, SET, data_centre, 1,
+static const cyaml_schema_field_t settings_fields[] = {
+	CYAML_FIELD_STRING_PTR("name", PTR, SETTINGS, name, 1, TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("ip", PTR, SETTINGS, ip, 1, TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("data_centre", PTR, SETTINGS, data_centre, 1,
 			       TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("region", PTR | OPT, SET, region, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("front", PTR, SET, front, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("ready", PTR, SET, ready, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("directory", PTR, SET, directory, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("store", PTR, SET, store, 1, TEXT_CHARS),
-	CYAML_FIELD_UINT("peer_port", CYAML_FLAG_DEFAULT, SET, peer_port),
-	CYAML_FIELD_UINT("metrics_port", OPT, SET, metrics_port),
-	CYAML_FIELD_FLOAT("link_mbps", OPT, SET, link_mbps),
-	CYAML_FIELD_BOOL("first_start", OPT, SET, first_start),
-	CYAML_FIELD_SEQUENCE("seeds", PTR, SET, seeds, &word, 0, 64),
-	CYAML_FIELD_MAPPING("bounds", CYAML_FLAG_DEFAULT, SET, bounds,
+	CYAML_FIELD_STRING_PTR("region", PTR | OPT, SETTINGS, region, 1,
+			       TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("front", PTR, SETTINGS, front, 1, TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("ready", PTR, SETTINGS, ready, 1, TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("directory", PTR, SETTINGS, directory, 1,
+			       TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("store", PTR, SETTINGS, store, 1, TEXT_CHARS),
+	CYAML_FIELD_UINT("peer_port", CYAML_FLAG_DEFAULT, SETTINGS, peer_port),
+	CYAML_FIELD_UINT("metrics_port", OPT, SETTINGS, metrics_port),
+	CYAML_FIELD_FLOAT("link_mbps", OPT, SETTINGS, link_mbps),
+	CYAML_FIELD_BOOL("first_start", OPT, SETTINGS, first_start),
+	CYAML_FIELD_SEQUENCE("seeds", PTR, SETTINGS, seeds, &text_schema, 0,
+			     64),
+	CYAML_FIELD_MAPPING("bounds", CYAML_FLAG_DEFAULT, SETTINGS, bounds,
 			    bounds_fields),
-	CYAML_FIELD_SEQUENCE("switched_off", PTR | OPT, SET, switched_off,
-			     &word, 0, TR_MECHANISMS),
+	CYAML_FIELD_SEQUENCE("switched_off", PTR | OPT, SETTINGS, switched_off,
+			     &text_schema, 0, TR_MECHANISMS),
 	CYAML_FIELD_IGNORE("rest", OPT),
 	CYAML_FIELD_END,
 };
 
 static const cyaml_schema_value_t schema = {
-	CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, SET, fields),
+	CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, SETTINGS, settings_fields),
 };
 
 static int check_address(const char *field, const char *value,
@@ -91,9 +99,9 @@
 			    "expected IP:PORT");
 }
 
-/* "250ms" or "2.5s" in us. */
-static int check_time(const char *field, const char *value, int64_t *us,
-		      struct tr_error *err)
+/* Parses a duration such as "250ms" or "2.5s" into microseconds. */
+static int check_duration(const char *field, const char *value, int64_t *us,
+			  struct tr_error *err)
 {
 	char *unit;
 	double n = g_ascii_strtod(value, &unit);
@@ -103,11 +111,12 @@
 	    (!strcmp(unit, "s") || !strcmp(unit, "ms")))
 		return 0;
 	return tr_error_set(err, TR_OUT_OF_RANGE, field, value,
-			    "expected a time such as 250ms or 2.5s");
+			    "expected a duration such as 250ms or 2.5s");
 }
 
-/* For experiments: what is named here is switched off. */
-static int switch_off(const struct entry_settings *s, struct tr_error *err)
+/* Switches off the mechanisms that the settings name, for experiments. */
+static int apply_switched_off(const struct entry_settings *s,
+			      struct tr_error *err)
 {
 	g_autoptr(GString) names = g_string_new("expected one of");
 
@@ -123,28 +132,31 @@
 	return 0;
 }
 
-/* Bounds of callers' keys and of limits, which may be left out. */
-static int check_keys(struct entry_settings *s, struct tr_error *err)
+/*
+ * Checks the optional bounds on callers' keys and on limits, and sets their
+ * defaults.
+ */
+static int check_key_bounds(struct entry_settings *s, struct tr_error *err)
 {
 	struct entry_bounds *b = &s->bounds;
 
-	s->limit_window_us = LIMIT_WINDOW;
-	s->key_proof_us = KEY_PROOF;
+	s->limit_window_us = DEFAULT_LIMIT_WINDOW;
+	s->key_proof_us = DEFAULT_KEY_PROOF;
 	if (b->limit_window &&
-	    check_time("bounds.limit_window", b->limit_window,
-		       &s->limit_window_us, err))
+	    check_duration("bounds.limit_window", b->limit_window,
+			   &s->limit_window_us, err))
 		return -1;
-	if (s->limit_window_us < LIMIT_WINDOW_LEAST)
+	if (s->limit_window_us < MIN_LIMIT_WINDOW)
 		return tr_error_set(err, TR_OUT_OF_RANGE, "bounds.limit_window",
 				    b->limit_window,
-				    "expected a time of 100ms or more");
-	if (b->key_proof &&
-	    check_time("bounds.key_proof", b->key_proof, &s->key_proof_us, err))
+				    "expected a duration of 100ms or more");
+	if (b->key_proof && check_duration("bounds.key_proof", b->key_proof,
+					   &s->key_proof_us, err))
 		return -1;
 	if (b->limit_over >= 0)
 		return 0;
 	return tr_error_set(err, TR_OUT_OF_RANGE, "bounds.limit_over", "",
-			    "expected a share of 0 or more");
+			    "expected a number of 0 or more");
 }
 
 static int check(struct entry_settings *s, struct tr_error *err)
@@ -153,7 +165,7 @@
 
 	if (inet_pton(AF_INET, s->ip, &ip) != 1)
 		return tr_error_set(err, TR_OUT_OF_RANGE, "ip", s->ip,
-				    "expected an IPv4 number");
+				    "expected an IPv4 address");
 	if (check_address("front", s->front, err) ||
 	    check_address("ready", s->ready, err) ||
 	    check_address("directory", s->directory, err) ||
@@ -163,35 +175,38 @@
 		return tr_error_set(err, TR_OUT_OF_RANGE, "peer_port", "",
 				    "expected a port from 1 to 65535");
 	if (!s->link_mbps)
-		s->link_mbps = LINK_MBPS;
+		s->link_mbps = DEFAULT_LINK_MBPS;
 	if (!(s->link_mbps >= 1))
 		return tr_error_set(err, TR_OUT_OF_RANGE, "link_mbps", "",
-				    "expected megabits a second, 1 or more");
+				    "expected megabits per second, 1 or more");
 	for (unsigned i = 0; i < s->seeds_count; i++)
 		if (check_address("seeds", s->seeds[i], err))
 			return -1;
 	if (s->bounds.repeat_ratio < 0 || s->bounds.repeat_ratio > 1)
 		return tr_error_set(err, TR_OUT_OF_RANGE, "bounds.repeat_ratio",
-				    "", "expected a share from 0 to 1");
+				    "", "expected a number from 0 to 1");
 	if (s->bounds.floor_share < 0 || s->bounds.floor_share > 1)
 		return tr_error_set(err, TR_OUT_OF_RANGE, "bounds.floor_share",
-				    "", "expected a share from 0 to 1");
-	if (check_keys(s, err))
+				    "", "expected a number from 0 to 1");
+	if (check_key_bounds(s, err))
 		return -1;
-	return check_time("bounds.repeat_window", s->bounds.repeat_window,
-			  &s->repeat_window_us, err) ||
-			       check_time("bounds.keep_most",
-					  s->bounds.keep_most, &s->keep_most_us,
-					  err) ||
-			       check_time("bounds.grace", s->bounds.grace,
-					  &s->grace_us, err) ||
-			       check_time("bounds.drain", s->bounds.drain,
-					  &s->drain_us, err)
+	return check_duration("bounds.repeat_window", s->bounds.repeat_window,
+			      &s->repeat_window_us, err) ||
+			       check_duration("bounds.keep_most",
+					      s->bounds.keep_most,
+					      &s->keep_most_us, err) ||
+			       check_duration("bounds.grace", s->bounds.grace,
+					      &s->grace_us, err) ||
+			       check_duration("bounds.drain", s->bounds.drain,
+					      &s->drain_us, err)
 		       ? -1
 		       : 0;
 }
 
-/* Read and check the settings. NULL and err when they are wrong. */
+/*
+ * Reads and checks the settings. Returns NULL and fills err if they are
+ * invalid.
+ */
 struct entry_settings *entry_settings_load(const char *path,
 					   struct tr_error *err)
 {
@@ -204,7 +219,7 @@
 	s = yamlfile_load(text, len, &schema, err);
 	if (!s)
 		return NULL;
-	if (!check(s, err) && !switch_off(s, err))
+	if (!check(s, err) && !apply_switched_off(s, err))
 		return s;
 	err->line = yamlfile_line(text, len, err->field);
 	entry_settings_free(s);
--- a/entry/entry_settings.h
+++ b/entry/entry_settings.h
@@ -1,34 +1,32 @@
 #ifndef ENTRY_SETTINGS_H
 #define ENTRY_SETTINGS_H
 
+/* The settings file of an entry VM. */
 #include <stdbool.h>
 #include <stdint.h>
 
 struct tr_error;
 
 /*
- * Bounds that the operator of the platform sets for the whole fleet. Of
- * callers' keys: for how long one may be used after it was taken away
- * (key_proof), and whether a VM that can't tell must refuse it then; of
- * organisations' limits: by how much one may be overrun in which window.
+ * Bounds that the operator of the platform sets for the whole fleet. Durations
+ * are texts such as "250ms"; struct entry_settings has them in microseconds.
  */
 struct entry_bounds {
-	double repeat_ratio;
-	uint32_t repeat_slack;
-	double floor_share;
-	bool fail_closed;
-	double limit_over;
+	double repeat_ratio;   /* repeats per request */
+	uint32_t repeat_slack; /* repeats beyond the ratio, per window */
+	double floor_share;    /* of a service's targets that must be in use */
+	bool fail_closed;      /* without a proof, refuse callers' keys */
+	double limit_over; /* by how much a limit may be overrun, 0.25 = 25 % */
 	uint32_t limit_slack;
-	char *limit_window;
-	char *key_proof;
+	char *limit_window; /* over which limits are measured */
+	char *key_proof;    /* how long a revoked key may still be used */
 	char *repeat_window;
 	char *keep_most;
 	char *grace;
 	char *drain;
 };
 
-/* The settings of one entry VM. Addresses are IP:PORT. first_start: no VM of
- * the fleet has run before. */
+/* The settings of one entry VM. Addresses are IP:PORT. */
 struct entry_settings {
 	char *name;
 	char *ip;
@@ -40,12 +38,12 @@
 	char *store;
 	uint32_t peer_port;
 	uint32_t metrics_port;
-	double link_mbps;
-	bool first_start;
+	double link_mbps; /* bandwidth in megabits per second */
+	bool first_start; /* no VM of the fleet has run before */
 	char **seeds;
 	unsigned seeds_count;
 	struct entry_bounds bounds;
-	char **switched_off;
+	char **switched_off; /* names of mechanisms, for experiments */
 	unsigned switched_off_count;
 	int64_t repeat_window_us;
 	int64_t keep_most_us;
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -1,4 +1,7 @@
-/* The daemon of an entry VM on a platform with a store. */
+/*
+ * The daemon of an entry VM on a platform with a store: startup, the periodic
+ * step, reload and shutdown.
+ */
 #include <apr_general.h>
 #include <argtable2.h>
 #include <arpa/inet.h>
@@ -25,57 +28,64 @@
 #include "version.h"
 
 #define EXIT_USAGE 2
-/* How often what is due is looked at: a third of the shortest period. */
-#define STEP TR_MSEC(25)
-/* The same until this VM can serve: callers wait for that. */
-#define STEP_AT_START TR_MSEC(5)
-/* How often the settings file is looked at for a change without a signal. */
+/* Period of step(): a third of the shortest period of what it runs. */
+#define STEP_PERIOD TR_MSEC(25)
+/* The same until this VM can serve, because callers wait for that. */
+#define STEP_PERIOD_AT_START TR_MSEC(5)
+/* How often the settings file is checked for a change without a signal. */
 #define SETTINGS_PERIOD TR_SEC(1)
-/* Of the time between the signal to stop and the kill: when idle connections
- * are closed, when new ones are refused, and when the process ends anyway. */
+/*
+ * Shares of the grace period between the stop signal and the kill, after which
+ * idle connections are closed, new ones are refused, and the process exits in
+ * any case.
+ */
 #define STOP_IDLE_SHARE	  0.2
 #define STOP_REFUSE_SHARE 0.45
 #define STOP_END_SHARE	  0.92
 
-/* How long requests wait after the start where organisations have limits, and
- * up to how much longer at each VM. One that knows of no other yet takes the
- * limits for its own, and after the loss of all VMs each does so. In a flood of
- * five times a limit 1.05 of what operators allow came through in the window
- * around such a loss (104 VMs), and 1.04 when all served what had waited at
- * once. */
-#define SETTLES_LEAST TR_MSEC(200)
-#define SETTLES_MS    400
+/*
+ * If organisations have limits, requests are held after the start for the first
+ * of these times, plus a random time of up to the second at each VM. A VM that
+ * knows of no other yet applies the whole limits by itself, and after the loss
+ * of all VMs each does so. With five times the requests that a limit allows,
+ * 1.05 of what operators allow passed in the window around such a loss (104
+ * VMs), and 1.04 when all VMs served the held requests at once.
+ */
+#define LIMITS_SETTLE_MIN	TR_MSEC(200)
+#define LIMITS_SETTLE_JITTER_MS 400
 
 struct daemon {
 	struct entry e;
 	struct entry_settings *settings;
 	const char *path;
 	apr_time_t stop_since;
-	GSList *old;
-	apr_time_t settings_seen_at;
-	struct timespec settings_changed;
+	GSList *old_settings;
+	apr_time_t settings_checked_at;
+	struct timespec settings_mtime;
 };
 
+/* Goes through the phases of a shutdown and stops the loop at the end. */
 static void step_stop(struct daemon *d, apr_time_t now)
 {
 	struct entry *e = &d->e;
-	double gone =
+	double elapsed =
 		(double)(now - d->stop_since) / (double)d->settings->grace_us;
 
-	if (gone > STOP_IDLE_SHARE)
+	if (elapsed > STOP_IDLE_SHARE)
 		listener_close_idle(&e->front);
-	if (gone > STOP_REFUSE_SHARE)
+	if (elapsed > STOP_REFUSE_SHARE)
 		listener_stop_accepting(&e->front);
-	if (gone > STOP_END_SHARE)
+	if (elapsed > STOP_END_SHARE)
 		exchange_reply_all(e);
-	if (gone > STOP_END_SHARE || (gone > STOP_REFUSE_SHARE &&
-				      !e->exchanges_count && !e->front.count))
+	if (elapsed > STOP_END_SHARE ||
+	    (elapsed > STOP_REFUSE_SHARE && !e->exchanges_count &&
+	     !e->front.count))
 		loop_stop(e->loop);
 }
 
 /*
- * Take over the settings as they are now. What is bound to a socket stays until
- * the next start; a file that is wrong changes nothing.
+ * Reloads the settings. What is bound to a socket stays as it is until a
+ * restart. An invalid file changes nothing.
  */
 static void reload(struct daemon *d)
 {
@@ -96,8 +106,8 @@
 	    s->peer_port != d->settings->peer_port)
 		eventlog(EVENT_FAILURE, "reload-partial",
 			 "expected=\"a restart for new addresses\"");
-	/* Strings of the old settings are in use by the open listeners. */
-	d->old = g_slist_prepend(d->old, d->settings);
+	/* The open listeners use strings of the old settings. */
+	d->old_settings = g_slist_prepend(d->old_settings, d->settings);
 	d->settings = s;
 	e->settings = s;
 	entry_apply_bounds(e);
@@ -107,7 +117,8 @@
 		 s->store);
 }
 
-static struct timespec changed_at(const char *path)
+/* Returns the time of the file's last change, or zero if it cannot be read. */
+static struct timespec mtime_of(const char *path)
 {
 	struct stat st;
 
@@ -116,33 +127,39 @@
 	return st.st_mtim;
 }
 
-/* The file may change without a signal. */
-static void look_at_settings(struct daemon *d, apr_time_t now)
+/*
+ * Reloads the settings if the file has changed, which may happen without a
+ * signal.
+ */
+static void check_settings_file(struct daemon *d, apr_time_t now)
 {
 	struct timespec at;
 
-	if (now - d->settings_seen_at < SETTINGS_PERIOD)
+	if (now - d->settings_checked_at < SETTINGS_PERIOD)
 		return;
-	d->settings_seen_at = now;
-	at = changed_at(d->path);
-	if (at.tv_sec == d->settings_changed.tv_sec &&
-	    at.tv_nsec == d->settings_changed.tv_nsec)
+	d->settings_checked_at = now;
+	at = mtime_of(d->path);
+	if (at.tv_sec == d->settings_mtime.tv_sec &&
+	    at.tv_nsec == d->settings_mtime.tv_nsec)
 		return;
-	d->settings_changed = at;
+	d->settings_mtime = at;
 	if (at.tv_sec)
 		reload(d);
 }
 
-static void on_hangup(void *ctx)
+static void on_sighup(void *ctx)
 {
 	struct daemon *d = ctx;
 
-	d->settings_changed = changed_at(d->path);
+	d->settings_mtime = mtime_of(d->path);
 	reload(d);
 }
 
-/* A VM that may no longer use callers' keys is named to none, and says so. */
-static void look_at_proof(struct entry *e)
+/*
+ * Updates whether this VM is named to callers, which it is not while it may not
+ * use callers' keys, and reports and logs a change.
+ */
+static void update_readiness(struct entry *e)
 {
 	bool takes = e->ready && entry_may_use_keys(e);
 	apr_time_t age = tr_proof_age(&e->proof, entry_now(e));
@@ -155,6 +172,7 @@
 	mesh_schedule_report(e->mesh);
 }
 
+/* Periodic work of the daemon; schedules itself again. */
 static void step(void *ctx)
 {
 	struct daemon *d = ctx;
@@ -168,7 +186,7 @@
 		tr_limits_restart(&e->limits, now);
 	}
 	e->stepped_at = now;
-	look_at_settings(d, now);
+	check_settings_file(d, now);
 	exchange_resume_held(e);
 	tr_roster_step(&e->roster, now);
 	idle_step(e, now);
@@ -176,7 +194,7 @@
 	conn_pool_expire(e);
 	reader_step(e->reader);
 	mesh_step(e->mesh);
-	look_at_proof(e);
+	update_readiness(e);
 	if (!e->ready && e->routes && e->roster.confirmed_at) {
 		e->ready = true;
 		eventlog(EVENT_LIFE, "ready", "version=%" PRIu64,
@@ -185,7 +203,8 @@
 	}
 	if (d->stop_since)
 		step_stop(d, now);
-	loop_after(e->loop, e->ready ? STEP : STEP_AT_START, step, d);
+	loop_after(e->loop, e->ready ? STEP_PERIOD : STEP_PERIOD_AT_START, step,
+		   d);
 }
 
 static void before_poll(void *ctx)
@@ -194,7 +213,8 @@
 	eventlog_flush();
 }
 
-static void on_signal(void *ctx)
+/* Begins the shutdown. */
+static void on_stop_signal(void *ctx)
 {
 	struct daemon *d = ctx;
 	struct entry *e = &d->e;
@@ -221,7 +241,7 @@
 			    strerror(errno));
 }
 
-static int open_all(struct daemon *d, struct tr_error *err)
+static int open_services(struct daemon *d, struct tr_error *err)
 {
 	struct entry_settings *s = d->settings;
 	struct entry *e = &d->e;
@@ -245,7 +265,7 @@
 			     &endpoints_metrics, err);
 }
 
-static int prepare(struct daemon *d, apr_pool_t *pool)
+static int init_entry(struct daemon *d, apr_pool_t *pool)
 {
 	struct entry_settings *s = d->settings;
 	struct entry *e = &d->e;
@@ -262,8 +282,9 @@
 	e->held_callers = g_ptr_array_new();
 	e->started_at = entry_now(e);
 	e->repeats_known_since = s->first_start ? 0 : e->started_at;
-	e->limits_settle_at = e->started_at + SETTLES_LEAST +
-			      TR_MSEC(tr_random_below(&e->random, SETTLES_MS));
+	e->limits_settle_at =
+		e->started_at + LIMITS_SETTLE_MIN +
+		TR_MSEC(tr_random_below(&e->random, LIMITS_SETTLE_JITTER_MS));
 	entry_apply_bounds(e);
 	e->front.fd = e->directory.fd = -1;
 	e->readiness.fd = e->metrics.fd = -1;
@@ -296,7 +317,7 @@
 	loop_destroy(e->loop);
 }
 
-static int say(const struct tr_error *err)
+static int print_error(const struct tr_error *err)
 {
 	char text[512];
 
@@ -305,7 +326,7 @@
 	return EXIT_USAGE;
 }
 
-static int serve(const char *path, bool check_only, apr_pool_t *pool)
+static int run_daemon(const char *path, bool check_only, apr_pool_t *pool)
 {
 	struct daemon d = { .path = path };
 	struct tr_error err = { 0 };
@@ -314,21 +335,21 @@
 	snprintf(err.file, sizeof(err.file), "%s", path);
 	d.settings = entry_settings_load(path, &err);
 	if (!d.settings)
-		return say(&err);
+		return print_error(&err);
 	if (check_only) {
 		entry_settings_free(d.settings);
 		return EXIT_SUCCESS;
 	}
 	eventlog_setup(d.settings->name);
-	if (prepare(&d, pool)) {
+	if (init_entry(&d, pool)) {
 		fprintf(stderr, "toucanreel-entry: out of memory\n");
 		return EXIT_FAILURE;
 	}
-	d.settings_changed = changed_at(path);
-	loop_on_hangup(d.e.loop, on_hangup, &d);
-	loop_on_signals(d.e.loop, on_signal, &d);
-	if (open_all(&d, &err)) {
-		code = say(&err);
+	d.settings_mtime = mtime_of(path);
+	loop_on_hangup(d.e.loop, on_sighup, &d);
+	loop_on_signals(d.e.loop, on_stop_signal, &d);
+	if (open_services(&d, &err)) {
+		code = print_error(&err);
 	} else {
 		eventlog(EVENT_LIFE, "start",
 			 "version=%s front=%s data_centre=%s seeds=%u first=%d",
@@ -343,16 +364,18 @@
 	}
 	close_all(&d);
 	entry_settings_free(d.settings);
-	g_slist_free_full(d.old, (GDestroyNotify)entry_settings_free);
+	g_slist_free_full(d.old_settings, (GDestroyNotify)entry_settings_free);
 	return code;
 }
 
 int main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
-	struct arg_lit *version = arg_lit0(NULL, "version", "say which");
+	struct arg_lit *help =
+		arg_lit0("h", "help", "print this help and exit");
+	struct arg_lit *version =
+		arg_lit0(NULL, "version", "print the version and exit");
 	struct arg_lit *check =
-		arg_lit0(NULL, "check", "check the settings and end");
+		arg_lit0(NULL, "check", "check the settings and exit");
 	struct arg_file *file = arg_file0("s", "settings", "FILE",
 					  "settings of this VM, in YAML");
 	struct arg_end *end = arg_end(8);
@@ -377,7 +400,7 @@
 				"TOUCANREEL_CONFIG\n");
 	} else if (apr_initialize() == APR_SUCCESS) {
 		apr_pool_create(&pool, NULL);
-		code = serve(path, check->count > 0, pool);
+		code = run_daemon(path, check->count > 0, pool);
 		apr_pool_destroy(pool);
 		apr_terminate();
 	}
