--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -1,6 +1,5 @@
 /*
- * One request of a caller: which route, which target, whether to send it once
- * more, and which answer is true of it.
+ * Attempts of a request: choice of the target, retries, hedging and the timer.
  */
 #include "exchange.h"
 
@@ -14,23 +13,33 @@
 #include "repeat.h"
 #include "exchange_internal.h"
 
-/* A running attempt is seconded by another when its target is gray with this
- * probability: from there on waiting is worth less than a second target. */
-#define SECOND_RISK 0.15
+/*
+ * A running attempt is hedged by a second one when its target is gray with this
+ * probability. From there on, waiting is worth less than a second target.
+ */
+#define HEDGE_RISK 0.15
 
-/* Standard deviation of the logarithm of the times of work that is queued: near
- * that of an exponential tail. With that of the service alone days of high load
- * lost up to 0.02 of their worth to targets that were suspected for a queue. */
+/*
+ * Standard deviation of the logarithm of the latency of queued work, near that
+ * of an exponential tail. With the service's own spread, days of high load lost
+ * up to 0.02 of their worth to targets that were suspected because of a queue.
+ */
 #define QUEUED_SPREAD 0.75
 
-/* How often a request that waits for another's answer looks for it. */
-#define WAIT_STEP TR_MSEC(50)
+/*
+ * How often a request that waits for the same request elsewhere checks on it.
+ */
+#define WAIT_POLL_PERIOD TR_MSEC(50)
 
 static void set_timer(struct exchange *x);
 static void upstream_done(void *ctx, struct upstream *u, enum upstream_end how);
 
-static GString *head_for(const struct exchange *x,
-			 const struct tr_instance *row)
+/*
+ * Returns the request head for a target, with the time left and the expected
+ * target.
+ */
+static GString *head_for_target(const struct exchange *x,
+				const struct tr_instance *row)
 {
 	const struct dialect *d = x->e->dialect;
 	apr_time_t left = x->deadline - entry_now(x->e);
@@ -43,7 +52,7 @@
 	return head;
 }
 
-static struct upstream *free_try(struct exchange *x)
+static struct upstream *free_upstream(struct exchange *x)
 {
 	for (int i = 0; i < MAX_UPSTREAMS; i++)
 		if (!x->upstreams[i].active)
@@ -51,7 +60,8 @@
 	return NULL;
 }
 
-static enum tr_place_result choose(struct exchange *x, struct tr_placement *p)
+static enum tr_place_result choose_target(struct exchange *x,
+					  struct tr_placement *p)
 {
 	const struct entry *e = x->e;
 	apr_time_t now = entry_now(e);
@@ -87,9 +97,13 @@
 	return res;
 }
 
-/* Behind other work nobody knows when the answer is due: it is not called late
- * sooner than work with an exponential tail is. */
-static double spread_at(const struct exchange *x, const struct tr_placement *p)
+/*
+ * Returns the spread of the expected latency. Behind queued work, the time is
+ * uncertain: the spread is then at least that of an exponential tail, so that
+ * the answer is not called late too early.
+ */
+static double latency_spread(const struct exchange *x,
+			     const struct tr_placement *p)
 {
 	double spread =
 		tr_service_stats_spread(&x->e->roster.services[x->service]);
@@ -97,17 +111,18 @@
 	return p->wait && spread < QUEUED_SPREAD ? QUEUED_SPREAD : spread;
 }
 
+/* Starts an attempt at a target. Returns 0, or -1 if it failed at once. */
 static int send_to(struct exchange *x, const struct tr_placement *p)
 {
 	struct entry *e = x->e;
 	const struct tr_instance *row = &e->roster.rows[p->row];
 	struct upstream_request request = {
 		.request_id = x->id,
-		.head = head_for(x, row),
+		.head = head_for_target(x, row),
 		.body = x->body,
 		.head_only = !strcmp(x->method, "HEAD"),
 		.expected = exchange_typical_latency(x) + p->wait,
-		.spread = spread_at(x, p),
+		.spread = latency_spread(x, p),
 		.queued = p->wait > 0,
 		.keeps = x->keeps,
 		.known_exits = tr_fatal_count_ends(&e->fatals, x->identity),
@@ -121,24 +136,28 @@
 	x->tried[x->tried_count++] = p->row;
 	x->for_floor += p->for_floor;
 	x->runs++;
-	res = upstream_start(free_try(x), e, p->row, &request, upstream_done,
-			     x);
-	/* Before the others send one too. */
+	res = upstream_start(free_upstream(x), e, p->row, &request,
+			     upstream_done, x);
+	/* Tell the other VMs before they send one for the floor as well. */
 	if (p->for_floor)
 		mesh_broadcast_now(e->mesh);
 	return res;
 }
 
-static const char *const place_words[] = { "found",    "no-target", "all-tried",
-					   "too-late", "limited",   "resting" };
+static const char *const place_result_names[] = { "found",     "no-target",
+						  "all-tried", "too-late",
+						  "limited",   "resting" };
 
-/* Send the request to a target, or let it wait; NULL, or why neither. */
+/*
+ * Sends the request to a target or lets it wait. Returns NULL, or the reason
+ * why neither is possible.
+ */
 const char *exchange_send(struct exchange *x)
 {
 	enum tr_fatal_verdict verdict;
 	struct tr_placement p;
 
-	/* The proof may have ended while the request waited. */
+	/* The proof may have expired while the request was held. */
 	if (x->needs_key && !entry_may_use_keys(x->e))
 		return "unproven";
 	verdict = exchange_fatal_admit(x);
@@ -153,10 +172,10 @@
 		return NULL;
 	}
 	while (x->tried_count < MAX_TRIED_TARGETS) {
-		enum tr_place_result res = choose(x, &p);
+		enum tr_place_result res = choose_target(x, &p);
 
 		if (res != TR_PLACE_FOUND)
-			return place_words[res];
+			return place_result_names[res];
 		if (!send_to(x, &p)) {
 			set_timer(x);
 			return NULL;
@@ -166,11 +185,16 @@
 	return "all-tried";
 }
 
+/*
+ * Returns whether one more attempt is possible, and spends a repeat of the
+ * fleet's bound if so.
+ */
 static bool may_repeat(struct exchange *x)
 {
 	struct entry *e = x->e;
 
-	if (x->done || x->tried_count >= MAX_TRIED_TARGETS || !free_try(x) ||
+	if (x->done || x->tried_count >= MAX_TRIED_TARGETS ||
+	    !free_upstream(x) ||
 	    x->deadline - entry_now(e) < exchange_typical_latency(x) / 2 ||
 	    !tr_fatal_may_repeat(&e->fatals, x->identity))
 		return false;
@@ -180,8 +204,11 @@
 	return false;
 }
 
-/* Second a running attempt whose target is probably gray. */
-static void second(struct exchange *x, const struct upstream *u)
+/*
+ * Hedges a late attempt: sends the request to a second target if that is less
+ * likely to be gray.
+ */
+static void hedge(struct exchange *x, const struct upstream *u)
 {
 	const struct tr_roster *roster = &x->e->roster;
 	double risk = tr_gray_probability(&roster->rows[u->row].gray,
@@ -191,17 +218,21 @@
 	if (!tr_mechanism_enabled(TR_MECH_SECONDING))
 		return;
 	if (x->route->kind != TR_KIND_SAFE || x->runs >= x->route->attempts ||
-	    !free_try(x) || risk < SECOND_RISK)
+	    !free_upstream(x) || risk < HEDGE_RISK)
 		return;
-	if (choose(x, &p) != TR_PLACE_FOUND || p.risk >= risk || !may_repeat(x))
+	if (choose_target(x, &p) != TR_PLACE_FOUND || p.risk >= risk ||
+	    !may_repeat(x))
 		return;
 	x->e->counts.repeats++;
 	if (send_to(x, &p))
 		x->runs--;
 }
 
-/* Send a request that has waited for another's answer; or give it up. */
-static void begin(struct exchange *x)
+/*
+ * Sends a request that has waited for the same request elsewhere, or gives it
+ * up.
+ */
+static void send_waiting(struct exchange *x)
 {
 	const char *why = exchange_send(x);
 
@@ -209,7 +240,7 @@
 		exchange_give_up(x, why);
 }
 
-/* May any of its attempts have run? */
+/* Returns whether any attempt may have run. */
 static bool may_have_run(const struct exchange *x)
 {
 	bool any = x->maybe_ran;
@@ -220,7 +251,8 @@
 	return any;
 }
 
-static void look(void *ctx)
+/* Handles the deadline, the end of a wait and the ages of running attempts. */
+static void on_timer(void *ctx)
 {
 	struct exchange *x = ctx;
 	apr_time_t now = entry_now(x->e);
@@ -234,7 +266,7 @@
 		return;
 	}
 	if (x->waiting) {
-		begin(x);
+		send_waiting(x);
 		return;
 	}
 	for (int i = 0; i < MAX_UPSTREAMS && !x->done; i++) {
@@ -244,19 +276,23 @@
 			continue;
 		upstream_check_age(u, now);
 		if (!x->done && u->active && u->stage >= TR_STAGE_LATE)
-			second(x, u);
+			hedge(x, u);
 	}
 	if (!x->done)
 		set_timer(x);
 }
 
+/*
+ * Arms the timer for the next of these events. Checks the ages of attempts,
+ * which may end one, and with it the exchange.
+ */
 static void set_timer(struct exchange *x)
 {
 	apr_time_t now = entry_now(x->e);
 	apr_time_t at = x->deadline;
 
-	if (x->waiting && now + WAIT_STEP < at)
-		at = now + WAIT_STEP;
+	if (x->waiting && now + WAIT_POLL_PERIOD < at)
+		at = now + WAIT_POLL_PERIOD;
 	loop_cancel(x->e->loop, x->timer);
 	x->timer = NULL;
 	for (int i = 0; i < MAX_UPSTREAMS; i++) {
@@ -272,10 +308,13 @@
 	}
 	if (x->timer)
 		return;
-	x->timer = loop_after(x->e->loop, at > now ? at - now : 0, look, x);
+	x->timer = loop_after(x->e->loop, at > now ? at - now : 0, on_timer, x);
 }
 
-/* Nothing was run at the target: another, while there is time. */
+/*
+ * After a refusal or a failure to connect, nothing has run: tries another
+ * target while there is time.
+ */
 static void after_refusal(struct exchange *x, enum upstream_end how)
 {
 	const char *why = upstream_end_name(how);
@@ -283,7 +322,10 @@
 	x->runs--;
 	if (exchange_any_active(x))
 		return;
-	/* What never reached a target is no repeat for the fleet's bound. */
+	/*
+	 * The fleet's bound does not count requests that never reached a
+	 * target.
+	 */
 	if (how == UPSTREAM_UNREACHED ||
 	    (tr_mechanism_enabled(TR_MECH_REPEAT_REFUSED) && may_repeat(x))) {
 		why = exchange_send(x);
@@ -293,6 +335,10 @@
 	exchange_give_up(x, why);
 }
 
+/*
+ * After a failure that may have run: retries if the route allows it, otherwise
+ * replies once no attempt is left.
+ */
 static void after_failure(struct exchange *x, struct upstream *u,
 			  enum upstream_end how)
 {
@@ -339,10 +385,10 @@
 }
 
 /*
- * Answer all that still run, because the process ends now. A connection that is
- * closed without a word tells its caller neither that the request may have run
- * nor that it has not; one would notice by callers that lose requests whenever
- * a VM is stopped while targets hang.
+ * Replies to all unfinished requests because the process is about to exit. A
+ * connection that is closed without a reply does not tell the caller whether
+ * the request may have run: callers would lose requests whenever a VM is
+ * stopped while targets hang.
  */
 void exchange_reply_all(struct entry *e)
 {
@@ -352,7 +398,7 @@
 					     "vm-ends");
 }
 
-/* Free all that run; for the end of the process. */
+/* Frees all exchanges at the end of the process. */
 void exchange_free_all(struct entry *e)
 {
 	while (e->exchanges)
--- a/entry/exchange.h
+++ b/entry/exchange.h
@@ -1,6 +1,7 @@
 #ifndef EXCHANGE_H
 #define EXCHANGE_H
 
+/* Requests of callers, from arrival to reply. */
 #include "entry.h"
 
 extern const struct listener_callbacks exchange_callbacks;
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -1,4 +1,7 @@
-/* How a request begins: its route, its deadline, the head that is passed on. */
+/*
+ * Arrival of requests: holding, matching of a route, the deadline and the head
+ * that is forwarded.
+ */
 #include <inttypes.h>
 #include <math.h>
 #include <stdio.h>
@@ -14,27 +17,39 @@
 #include "organisation.h"
 #include "spread.h"
 
-/* What is left of the caller's own time when a request is given up, as a part
- * of it and at most, so that the answer still reaches the caller: one that is
- * 8 ms away got none of its answers with 10 ms, which the way there took. An
- * answer that comes so late is rare. */
-#define ANSWER_WAY_PART 25
-#define ANSWER_WAY_MOST TR_MSEC(100)
-/* Golden ratio: steps of it spread weights evenly over any span of draws. */
+/*
+ * A request is given up before the caller's own deadline, by
+ * 1/REPLY_TRANSIT_PART of its time and at most by MAX_REPLY_TRANSIT, so that
+ * the reply still reaches the caller. With 10 ms, a caller 8 ms away got none
+ * of the replies, because their way took that long. A target's answer that
+ * comes in this last interval is rare.
+ */
+#define REPLY_TRANSIT_PART 25
+#define MAX_REPLY_TRANSIT  TR_MSEC(100)
+/*
+ * Golden ratio. Draws that advance by it cover the weights evenly over any span
+ * (a low-discrepancy sequence).
+ */
 #define GOLDEN 0.6180339887498949
-/* How long requests wait after the start of the process for the list and the
- * configuration, which come from another VM in a third of that; refused they
- * would be lost to callers that do not ask again, and after the loss of all VMs
- * there is no other to go to. */
-#define HELD_AT_START TR_MSEC(1000)
-/* How old the list may be without holding requests after a pause. */
-#define HELD_AGE TR_MSEC(1500)
-/* When a caller that is refused for what this VM lacks should come back: others
- * have it, or it is here after some messages. */
-#define RETURN_AFTER TR_MSEC(300)
+/*
+ * How long requests are held after the start of the process until the list and
+ * the configuration are here, which come from another VM in a third of that.
+ * Refused requests would be lost to callers that do not retry, and after the
+ * loss of all VMs there is no other VM to retry at.
+ */
+#define MAX_HOLD_AT_START TR_MSEC(1000)
+/* After a pause, requests are held if the target list is older than this. */
+#define MAX_LIST_AGE TR_MSEC(1500)
+/*
+ * Retry-After for what this VM lacks: other VMs have it, or it is here after a
+ * few messages.
+ */
+#define RETRY_AFTER TR_MSEC(300)
 
-/* Answer for this VM itself before a request has begun; after says when to come
- * back, 0 that coming back is of no use. */
+/*
+ * Refuses a request for which no exchange has begun. after is the Retry-After
+ * time, or 0 if a retry is of no use.
+ */
 void exchange_refuse(struct caller *caller, int status, apr_time_t after)
 {
 	struct caller_reply answer = { .status = status };
@@ -47,13 +62,13 @@
 	caller_reply(caller, &answer);
 }
 
-static void refuse(struct caller *caller, int status)
+static void reject(struct caller *caller, int status)
 {
-	exchange_refuse(caller, status, status == 503 ? RETURN_AFTER : 0);
+	exchange_refuse(caller, status, status == 503 ? RETRY_AFTER : 0);
 }
 
-/* Does the Connection header name this one as its connection's own? */
-static bool named_by_connection(const struct message *in, const char *name)
+/* Returns whether the Connection header lists this header as hop-by-hop. */
+static bool is_connection_option(const struct message *in, const char *name)
 {
 	const char *list = message_header(in, "Connection");
 	size_t len = strlen(name);
@@ -69,7 +84,12 @@
 	return false;
 }
 
-static GString *make_head(const struct exchange *x, const struct message *in)
+/*
+ * Builds the head to forward, without hop-by-hop headers and those that only
+ * this VM may set. head_for_target() completes it.
+ */
+static GString *make_request_head(const struct exchange *x,
+				  const struct message *in)
 {
 	const struct dialect *d = x->e->dialect;
 	GString *head = g_string_sized_new(512);
@@ -84,7 +104,7 @@
 		    !strcasecmp(name, d->expected_instance) ||
 		    !strcasecmp(name, d->api_key) ||
 		    !strcasecmp(name, d->organisation) ||
-		    named_by_connection(in, name))
+		    is_connection_option(in, name))
 			continue;
 		g_string_append_printf(head, "%s: %s\r\n", name,
 				       message_value_at(in, i));
@@ -100,6 +120,7 @@
 	return head;
 }
 
+/* Returns the hash by which VMs recognise the same request. */
 static uint64_t identity_of(const struct exchange *x, const struct message *in)
 {
 	const struct tr_request_parts parts = {
@@ -114,23 +135,28 @@
 	return tr_identity(tr_hash_string(x->e->settings->store), &parts);
 }
 
+/*
+ * Returns when the reply must be sent: by the caller's deadline or the route's
+ * timeout, whichever is earlier.
+ */
 static apr_time_t deadline_of(const struct exchange *x,
 			      const struct message *in)
 {
 	const char *text = message_header(in, x->e->dialect->deadline_ms);
 	apr_time_t left = text ? TR_MSEC(strtoll(text, NULL, 10)) : 0;
-	apr_time_t way = left / ANSWER_WAY_PART;
+	apr_time_t transit = left / REPLY_TRANSIT_PART;
 
 	if (left <= 0)
 		return x->arrived + x->route->timeout;
-	left -= way < ANSWER_WAY_MOST ? way : ANSWER_WAY_MOST;
+	left -= transit < MAX_REPLY_TRANSIT ? transit : MAX_REPLY_TRANSIT;
 	return x->arrived +
 	       (left < x->route->timeout ? left : x->route->timeout);
 }
 
-static void start(struct entry *e, struct caller *caller,
-		  const struct tr_path_route *route,
-		  const struct tr_organisation *organisation)
+/* Creates the exchange and sends the request to a target. */
+static void start_exchange(struct entry *e, struct caller *caller,
+			   const struct tr_path_route *route,
+			   const struct tr_organisation *organisation)
 {
 	struct exchange *x = calloc(1, sizeof(*x));
 	struct message *in = &caller->in;
@@ -161,11 +187,13 @@
 	x->id = g_strdup(message_header(in, e->dialect->request_id));
 	x->method =
 		g_strdup(http_method_str((enum http_method)in->parser.method));
-	/* The caller counts from its first byte: a body that came in slowly
-	 * has used up time that the target no longer has. */
+	/*
+	 * The caller's time runs from the first byte: a body that came in
+	 * slowly has used up time that the target no longer has.
+	 */
 	x->arrived = caller->request_began_at;
 	x->deadline = deadline_of(x, in);
-	x->head = make_head(x, in);
+	x->head = make_request_head(x, in);
 	x->body = in->body;
 	in->body = g_byte_array_new();
 	x->identity = identity_of(x, in);
@@ -176,8 +204,10 @@
 		exchange_give_up(x, why);
 }
 
-/* Has another VM a newer configuration? A route that is not known here may
- * stand in it; a caller that is told 404 would not come back. */
+/*
+ * Returns whether another VM has a newer configuration. It may hold a route
+ * that is unknown here, and a caller that is told 404 would not retry.
+ */
 bool exchange_routes_outdated(const struct entry *e)
 {
 	uint64_t newest = tr_spread_newest_revision(
@@ -186,6 +216,7 @@
 	return newest > e->routes->revision && newest > e->refused_revision;
 }
 
+/* Checks the request, and refuses it or starts its exchange. */
 static void admit(struct entry *e, struct caller *caller)
 {
 	const struct message *in = &caller->in;
@@ -194,19 +225,19 @@
 	const struct tr_path_route *route;
 
 	if (!e->routes || !e->roster.confirmed_at) {
-		refuse(caller, 503);
+		reject(caller, 503);
 		return;
 	}
 	if (!host || message_count(in, "Host") != 1 ||
 	    !message_header(in, e->dialect->request_id) ||
 	    message_target(in)[0] != '/') {
-		refuse(caller, 400);
+		reject(caller, 400);
 		return;
 	}
 	route = tr_routes_match(e->routes, host, strcspn(host, ":"),
 				message_target(in));
 	if (!route && exchange_routes_outdated(e)) {
-		refuse(caller, 503);
+		reject(caller, 503);
 		return;
 	}
 	if (!route) {
@@ -215,20 +246,20 @@
 			 "version=%" PRIu64,
 			 message_header(in, e->dialect->request_id), host,
 			 e->routes->version);
-		refuse(caller, 404);
+		reject(caller, 404);
 		return;
 	}
 	if (exchange_authenticate(e, caller, route, &organisation))
-		start(e, caller, route, organisation);
+		start_exchange(e, caller, route, organisation);
 }
 
 /*
- * After a pause of the process, what it knows is of before it: requests wait
- * until the list is known to be current, or for a short time. One would notice
- * by requests to targets that left meanwhile. After its start it knows nothing
- * for a moment.
+ * Returns whether requests must be held. After a pause of the process, its data
+ * is from before the pause: requests are held until the list is known to be
+ * current, or for a short time. Otherwise they would go to targets that left
+ * meanwhile. Just after the start there is no data at all.
  */
-static bool is_stale(struct entry *e)
+static bool must_hold(struct entry *e)
 {
 	apr_time_t now = entry_now(e);
 
@@ -236,19 +267,19 @@
 	if (e->routes && e->routes->organisations && now < e->limits_settle_at)
 		return true;
 	if (!e->routes || !e->roster.confirmed_at || !entry_may_use_keys(e))
-		return now - e->started_at < HELD_AT_START ||
+		return now - e->started_at < MAX_HOLD_AT_START ||
 		       now < e->hold_until;
-	return now < e->hold_until && entry_view_age(e) > HELD_AGE;
+	return now < e->hold_until && entry_view_age(e) > MAX_LIST_AGE;
 }
 
-static void handle(void *ctx, struct caller *caller)
+static void handle_request(void *ctx, struct caller *caller)
 {
 	struct entry *e = ctx;
 
 	e->counts.requests++;
 	caller->handler_data = NULL;
 	caller->counted_in_limit = false;
-	if (is_stale(e)) {
+	if (must_hold(e)) {
 		exchange_count_request(e, caller);
 		g_ptr_array_add(e->held_callers, caller);
 	} else {
@@ -256,20 +287,23 @@
 	}
 }
 
-/* Serve what was held, once the list is current or it has waited enough. */
+/*
+ * Admits the held requests once the data is current or they were held long
+ * enough.
+ */
 void exchange_resume_held(struct entry *e)
 {
-	if (!e->held_callers->len || is_stale(e))
+	if (!e->held_callers->len || must_hold(e))
 		return;
 	while (e->held_callers->len)
 		admit(e, g_ptr_array_remove_index(e->held_callers, 0));
 }
 
 /*
- * The caller has left. What may repeat is cancelled at its target; what must
- * not goes on to its end, for nobody can take it back.
+ * The caller has disconnected. A request that may be repeated is cancelled at
+ * its target. Any other goes on to its end, since it cannot be undone.
  */
-static void gone(void *ctx, struct caller *caller)
+static void caller_gone(void *ctx, struct caller *caller)
 {
 	struct entry *e = ctx;
 	struct exchange *x = caller->handler_data;
@@ -285,4 +319,5 @@
 	}
 }
 
-const struct listener_callbacks exchange_callbacks = { handle, gone };
+const struct listener_callbacks exchange_callbacks = { handle_request,
+						       caller_gone };
--- a/entry/exchange_fatal.c
+++ b/entry/exchange_fatal.c
@@ -1,5 +1,7 @@
-/* Requests that crash the targets that run them: what this VM sees of them, and
- * whether one may be sent on; see lib/fatal.c. */
+/*
+ * Requests that crash the targets that run them: reports what this VM sees of
+ * them, and decides whether one may be sent; see lib/fatal.c.
+ */
 #include <inttypes.h>
 #include <stdio.h>
 
@@ -8,14 +10,17 @@
 #include "fatal.h"
 #include "mesh.h"
 
-static const char *const change_words[] = {
+static const char *const change_names[] = {
 	[TR_FATAL_REFUSED] = "refused",
 	[TR_FATAL_SERVED] = "served",
 };
 
-/* The targets that ended, and how many ends were known when each was sent the
- * request: 1a2b3c4d:0,... */
-static const char *ends_text(const struct tr_fatal *row, char *buf, size_t size)
+/*
+ * Formats the targets that ended, each with the number of ends known when the
+ * request was sent there: 1a2b3c4d:0,...
+ */
+static const char *format_ends(const struct tr_fatal *row, char *buf,
+			       size_t size)
 {
 	size_t len = 0;
 
@@ -29,7 +34,7 @@
 	return buf;
 }
 
-/* A line where a request begins or ends to be refused. */
+/* Logs when a request begins or ceases to be refused. */
 void exchange_fatal_log(const struct entry *e, uint64_t identity,
 			enum tr_fatal_change change)
 {
@@ -41,16 +46,16 @@
 	eventlog(EVENT_BELIEF, "fatal-request",
 		 "identity=%016" PRIx64 " state=%s ends=%u tries=%u targets=%s "
 		 "again_in_ms=%ld",
-		 identity, change_words[change], row->ends_count, row->tries,
-		 ends_text(row, ends, sizeof(ends)),
+		 identity, change_names[change], row->ends_count, row->tries,
+		 format_ends(row, ends, sizeof(ends)),
 		 (long)(tr_fatal_retry_after(&e->fatals, identity,
 					     entry_now(e)) /
 			1000));
 }
 
 /*
- * May the request be sent to a target? The others are told of one that is the
- * fleet's only one at once, so that they leave it at that.
+ * Returns whether the request may be sent to a target. If it is the fleet's one
+ * trial, the other VMs are told at once so that they send none.
  */
 enum tr_fatal_verdict exchange_fatal_admit(struct exchange *x)
 {
@@ -73,10 +78,11 @@
 }
 
 /*
- * What the end of an attempt tells. A second target that ended is told to the
- * others at once: until they know, they send the same request on. A first one
- * has mostly ended under many requests at once, of which none will be heard of
- * again; they go together in the next message.
+ * Records the end of an attempt. The second target that ended under a request
+ * is reported to the other VMs at once, because until they know, they send the
+ * same request on. A first one has mostly ended under many requests at once, of
+ * which none will be seen again; these are reported together in the next
+ * message.
  */
 void exchange_fatal_observe(struct exchange *x, const struct upstream *u,
 			    enum upstream_end how)
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -1,4 +1,4 @@
-/* Whose request it is, and whether that may send one now. */
+/* Authentication of requests by API key, and the limits of organisations. */
 #include <inttypes.h>
 
 #include "eventlog.h"
@@ -6,11 +6,13 @@
 #include "mesh.h"
 #include "organisation.h"
 
-/* When a caller whose key can't be judged here should come back: to another VM,
- * which it finds by its next connection. */
-#define UNPROVEN_RETURN TR_MSEC(300)
+/*
+ * Retry-After for a key that cannot be checked here: the caller's next
+ * connection leads to another VM.
+ */
+#define UNPROVEN_RETRY_AFTER TR_MSEC(300)
 
-/* Lines name organisations and never keys. */
+/* Logs a refusal. Log lines name organisations and never keys. */
 static void log_refused(const struct entry *e, const struct caller *caller,
 			int status, const char *why, const char *organisation)
 {
@@ -20,7 +22,7 @@
 		 why, organisation, e->routes->version);
 }
 
-/* Count the request with its organisation, once. */
+/* Counts the request against its organisation's limit, once. */
 void exchange_count_request(struct entry *e, struct caller *caller)
 {
 	const struct tr_organisation *o;
@@ -38,7 +40,10 @@
 	mesh_schedule_report(e->mesh);
 }
 
-/* Has the organisation anything left of its limit? */
+/*
+ * Returns whether the organisation is within its limit; refuses the request if
+ * not.
+ */
 static bool is_within_limit(struct entry *e, struct caller *caller,
 			    const struct tr_organisation *organisation)
 {
@@ -64,10 +69,10 @@
 }
 
 /*
- * The organisation whose key the request bears, if it must bear one or does.
- * False when the caller was refused. A key that is not known here may stand in
- * a newer configuration; 401 is final for callers, so it is said only by a VM
- * that knows of none.
+ * Finds the organisation by the key of the request, and checks its limit.
+ * Returns false if the request was refused. A key that is unknown here may be
+ * in a newer configuration. Since 401 is final for callers, it is sent only by
+ * a VM that knows of no newer one.
  */
 bool exchange_authenticate(struct entry *e, struct caller *caller,
 			   const struct tr_path_route *route,
@@ -91,7 +96,7 @@
 	    (!*organisation && exchange_routes_outdated(e))) {
 		e->counts.unproven++;
 		log_refused(e, caller, 503, "unproven", "-");
-		exchange_refuse(caller, 503, UNPROVEN_RETURN);
+		exchange_refuse(caller, 503, UNPROVEN_RETRY_AFTER);
 		return false;
 	}
 	exchange_count_request(e, caller);
--- a/entry/exchange_internal.h
+++ b/entry/exchange_internal.h
@@ -1,46 +1,56 @@
 #ifndef EXCHANGE_INTERNAL_H
 #define EXCHANGE_INTERNAL_H
 
+/* The parts that the exchange_*.c files share. */
 #include "exchange.h"
 #include "upstream.h"
 
-/* Attempts that run at the same time, and targets tried in all. Refusals and
- * failed connections run nothing, so they do not count as attempts. */
+/*
+ * Attempts that run at the same time, and targets tried in all. An attempt that
+ * was refused or could not connect has run nothing, and does not count against
+ * the route's attempts.
+ */
 #define MAX_UPSTREAMS	  2
 #define MAX_TRIED_TARGETS 8
 
+/* One request of a caller and the attempts to have it answered by a target. */
 struct exchange {
 	struct entry *e;
 	struct exchange *next;
 	struct exchange *prev;
-	struct caller *caller;
-	struct tr_routes *routes;
+	struct caller *caller;	  /* NULL once it has disconnected */
+	struct tr_routes *routes; /* a reference to those in force at arrival */
 	const struct tr_path_route *route;
+	/* The one whose key the request carries, or NULL. */
 	const struct tr_organisation *organisation;
-	uint32_t service;
-	char *id;
-	uint64_t identity;
+	uint32_t service;  /* index in the roster */
+	char *id;	   /* from the request id header */
+	uint64_t identity; /* hash that the same request has each time */
 	char *method;
-	GString *head;
+	GString *head; /* without the headers that differ per target */
 	GByteArray *body;
-	apr_time_t arrived;
-	apr_time_t deadline;
+	apr_time_t arrived;  /* when the first byte came */
+	apr_time_t deadline; /* when the reply must be sent */
 	struct upstream upstreams[MAX_UPSTREAMS];
+	/*
+	 * The roster rows that were tried, in order; the chance that each was
+	 * gray when chosen, and the requests in flight there.
+	 */
 	uint32_t tried[MAX_TRIED_TARGETS];
 	double risk[MAX_TRIED_TARGETS];
 	uint32_t in_flight[MAX_TRIED_TARGETS];
 	unsigned tried_count;
-	unsigned runs;
-	unsigned for_floor;
-	unsigned reconnected;
-	bool is_trial;
-	bool waiting;
-	bool needs_key;
-	bool keeps;
-	bool budget_exhausted;
-	apr_time_t retry_after;
-	bool maybe_ran;
-	bool done;
+	unsigned runs;	    /* attempts that may have run */
+	unsigned for_floor; /* attempts sent because the floor asked for them */
+	unsigned reconnected; /* attempts whose reused connection was dead */
+	bool is_trial;	      /* lets the fleet test a refused request */
+	bool waiting;	      /* for the result of the same request elsewhere */
+	bool needs_key;	      /* the route takes only requests with a key */
+	bool keeps;	      /* may use and keep idle connections */
+	bool budget_exhausted;	/* the bound denied a repeat */
+	apr_time_t retry_after; /* the least to tell the caller */
+	bool maybe_ran;		/* an attempt that ended may have run */
+	bool done;		/* replied or abandoned, to be freed */
 	struct loop_timer *timer;
 };
 
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -1,4 +1,4 @@
-/* How a request ends: whose answer it gets, and what is logged of it. */
+/* End of requests: the reply, and the log line. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,17 +11,20 @@
 #include "place.h"
 #include "times.h"
 
-/* A caller that is told to come back at once would meet the same queue. */
-#define RETRY_AFTER_LEAST TR_MSEC(50)
+/* A caller that retries at once would meet the same queue. */
+#define MIN_RETRY_AFTER TR_MSEC(50)
 
-/* How long the request's work usually takes. */
+/* Returns how long the request's work usually takes. */
 apr_time_t exchange_typical_latency(const struct exchange *x)
 {
 	return tr_service_stats_mean_time(&x->e->roster.services[x->service],
 					  x->route->latency_aim);
 }
 
-/* The part of the fleet that is heard, by which limits of targets are kept. */
+/*
+ * Returns the share of the fleet that this VM has heard lately, by which the
+ * limits of targets are scaled.
+ */
 double exchange_heard_share(const struct exchange *x)
 {
 	const struct entry *e = x->e;
@@ -31,7 +34,7 @@
 	return tr_membership_recent_share(&e->members, entry_now(e));
 }
 
-/* Free it, from outside of its own calls. */
+/* Frees the exchange. Must not be called from its own callbacks. */
 void exchange_free(struct exchange *x)
 {
 	struct entry *e = x->e;
@@ -56,7 +59,7 @@
 	free(x);
 }
 
-static void freed_later(void *ctx)
+static void free_deferred(void *ctx)
 {
 	struct exchange *x = ctx;
 
@@ -64,8 +67,10 @@
 	exchange_free(x);
 }
 
-/* The fate is settled. Freed from the loop, since attempts may be on the
- * stack. */
+/*
+ * Ends the exchange. The memory is freed later from the event loop, since
+ * callbacks of its attempts may be on the stack.
+ */
 void exchange_finish(struct exchange *x)
 {
 	x->done = true;
@@ -73,12 +78,15 @@
 	for (int i = 0; i < MAX_UPSTREAMS; i++)
 		upstream_stop(&x->upstreams[i], UPSTREAM_ABANDONED);
 	loop_cancel(x->e->loop, x->timer);
-	x->timer = loop_after(x->e->loop, 0, freed_later, x);
+	x->timer = loop_after(x->e->loop, 0, free_deferred, x);
 }
 
-/* The targets that were tried, in their order, with the chance that each was
- * gray when it was chosen. */
-static const char *tried_text(const struct exchange *x, char *buf, size_t size)
+/*
+ * Formats the targets that were tried, in order, each with the chance that it
+ * was gray when it was chosen and the requests in flight there.
+ */
+static const char *format_tried(const struct exchange *x, char *buf,
+				size_t size)
 {
 	const struct tr_roster *roster = &x->e->roster;
 	size_t len = 0;
@@ -92,8 +100,10 @@
 	return buf;
 }
 
-/* The line of the request's end, and its time for the metrics. why is a
- * constant. */
+/*
+ * Logs the end of the request and adds its latency to the metrics. why must be
+ * a string constant.
+ */
 void exchange_log_end(const struct exchange *x, int status, const char *why)
 {
 	const struct times_row row = {
@@ -123,11 +133,11 @@
 		(long)(exchange_typical_latency(x) / 1000), x->runs,
 		x->for_floor, x->reconnected, x->budget_exhausted,
 		x->organisation ? x->organisation->name : "-",
-		tried_text(x, tried, sizeof(tried)), x->routes->version,
+		format_tried(x, tried, sizeof(tried)), x->routes->version,
 		(long)(entry_view_age(e) / 1000));
 }
 
-/* Answer for this VM itself. 503 says when to come back. */
+/* Sends a reply of this VM itself. A 503 carries Retry-After. */
 void exchange_reply_local(struct exchange *x, int status, const char *why)
 {
 	struct caller_reply answer = { .status = status };
@@ -147,8 +157,8 @@
 					     entry_now(e));
 		if (after < x->retry_after)
 			after = x->retry_after;
-		if (after < RETRY_AFTER_LEAST)
-			after = RETRY_AFTER_LEAST;
+		if (after < MIN_RETRY_AFTER)
+			after = MIN_RETRY_AFTER;
 		g_string_append_printf(headers, "Retry-After: %.3f\r\n",
 				       (double)after / 1e6);
 		e->counts.refused++;
@@ -165,7 +175,10 @@
 	g_string_free(headers, TRUE);
 }
 
-/* The last word of this VM's own: not run only where that is proved. */
+/*
+ * Gives up: replies 503, which promises that nothing has run, only where that
+ * is certain, and 502 otherwise.
+ */
 void exchange_give_up(struct exchange *x, const char *why)
 {
 	if (x->maybe_ran)
@@ -174,13 +187,13 @@
 		exchange_reply_local(x, 503, why);
 }
 
-static bool is_for_peer_only(const struct dialect *d, const char *name)
+static bool is_not_forwarded(const struct dialect *d, const char *name)
 {
 	return message_is_connection_header(name) ||
 	       !strcasecmp(name, d->load) || !strcasecmp(name, d->not_run);
 }
 
-/* Pass on a target's answer, as it was given. */
+/* Forwards a target's response to the caller. */
 void exchange_forward_reply(struct exchange *x, struct upstream *u)
 {
 	const struct message *msg = &u->answer;
@@ -196,7 +209,7 @@
 	};
 
 	for (unsigned i = 0; i < msg->headers->len; i++)
-		if (!is_for_peer_only(x->e->dialect, message_name_at(msg, i)))
+		if (!is_not_forwarded(x->e->dialect, message_name_at(msg, i)))
 			g_string_append_printf(headers, "%s: %s\r\n",
 					       message_name_at(msg, i),
 					       message_value_at(msg, i));
@@ -209,13 +222,13 @@
 	g_string_free(headers, TRUE);
 }
 
-/* These statuses promise that nothing was run. */
+/* Returns whether the status promises that nothing was run. */
 bool exchange_status_means_not_run(int status)
 {
 	return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
-/* Does an attempt run? */
+/* Returns whether an attempt is under way. */
 bool exchange_any_active(const struct exchange *x)
 {
 	for (int i = 0; i < MAX_UPSTREAMS; i++)
--- a/entry/idle.c
+++ b/entry/idle.c
@@ -81,7 +81,7 @@
 	};
 }
 
-/* Initializes a floor check as for requests that must run only once. */
+/* Initialises a floor check as for requests that must run only once. */
 static void init_check(struct tr_floor_check *check, struct entry *e,
 		       uint32_t service, apr_time_t now)
 {
--- a/entry/message.c
+++ b/entry/message.c
@@ -118,7 +118,7 @@
 };
 
 /*
- * Initializes the message for parsing. The head and the body may have at most
+ * Initialises the message for parsing. The head and the body may have at most
  * max_head and max_body bytes.
  */
 void message_init(struct message *msg, enum http_parser_type type,
--- a/entry/stream.c
+++ b/entry/stream.c
@@ -227,7 +227,7 @@
 	return 0;
 }
 
-/* Initializes the stream with an accepted socket. */
+/* Initialises the stream with an accepted socket. */
 int stream_adopt(struct stream *s, struct loop *loop, int fd,
 		 const struct stream_callbacks *calls, void *ctx)
 {
