--- a/entry/caller.c
+++ b/entry/caller.c
@@ -121,10 +121,10 @@
 /* Answers the request with an error status and closes the connection. */
 static void reject(struct caller *c, int status)
 {
-	struct caller_reply answer = { .status = status, .close = true };
+	struct caller_reply reply = { .status = status, .close = true };
 
 	c->handling = true;
-	caller_reply(c, &answer);
+	caller_reply(c, &reply);
 }
 
 static void on_timeout(void *ctx)
--- a/entry/caller.h
+++ b/entry/caller.h
@@ -75,7 +75,7 @@
 void listener_stop_accepting(struct listener *listener);
 void listener_close_idle(struct listener *listener);
 void listener_close(struct listener *listener);
-void caller_reply(struct caller *caller, const struct caller_reply *answer);
+void caller_reply(struct caller *caller, const struct caller_reply *reply);
 const char *status_text(int status);
 
 #endif
--- a/entry/endpoints.c
+++ b/entry/endpoints.c
@@ -26,14 +26,14 @@
 {
 	g_autofree char *headers =
 		g_strdup_printf("Content-Type: %s\r\n", type);
-	struct caller_reply answer = {
+	struct caller_reply reply = {
 		.status = status,
 		.headers = headers,
 		.body = text,
 		.body_len = strlen(text),
 	};
 
-	caller_reply(caller, &answer);
+	caller_reply(caller, &reply);
 }
 
 static bool path_is(const struct caller *caller, const char *path)
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -342,7 +342,7 @@
 static void after_failure(struct exchange *x, struct upstream *u,
 			  enum upstream_end how)
 {
-	int status = u->answer.parser.status_code;
+	int status = u->response.parser.status_code;
 
 	x->maybe_ran = true;
 	if (x->route->kind == TR_KIND_SAFE && x->runs < x->route->attempts &&
@@ -369,7 +369,8 @@
 	exchange_fatal_observe(x, u, how);
 	switch (how) {
 	case UPSTREAM_ANSWERED:
-		if (exchange_status_means_not_run(u->answer.parser.status_code))
+		if (exchange_status_means_not_run(
+			    u->response.parser.status_code))
 			after_failure(x, u, how);
 		else
 			exchange_forward_reply(x, u);
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -52,14 +52,14 @@
  */
 void exchange_refuse(struct caller *caller, int status, apr_time_t after)
 {
-	struct caller_reply answer = { .status = status };
+	struct caller_reply reply = { .status = status };
 	char headers[64];
 
 	snprintf(headers, sizeof(headers), "Retry-After: %.3f\r\n",
 		 (double)after / 1e6);
 	if (after)
-		answer.headers = headers;
-	caller_reply(caller, &answer);
+		reply.headers = headers;
+	caller_reply(caller, &reply);
 }
 
 static void reject(struct caller *caller, int status)
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -140,7 +140,7 @@
 /* Sends a reply of this VM itself. A 503 carries Retry-After. */
 void exchange_reply_local(struct exchange *x, int status, const char *why)
 {
-	struct caller_reply answer = { .status = status };
+	struct caller_reply response = { .status = status };
 	struct entry *e = x->e;
 	struct caller *caller = x->caller;
 	GString *headers = g_string_new(NULL);
@@ -168,10 +168,10 @@
 	g_string_append_printf(headers, "%s: %s\r\n", e->dialect->request_id,
 			       x->id);
 	exchange_log_end(x, status, why);
-	answer.headers = headers->str;
+	response.headers = headers->str;
 	exchange_finish(x);
 	if (caller)
-		caller_reply(caller, &answer);
+		caller_reply(caller, &response);
 	g_string_free(headers, TRUE);
 }
 
@@ -196,11 +196,11 @@
 /* Forwards a target's response to the caller. */
 void exchange_forward_reply(struct exchange *x, struct upstream *u)
 {
-	const struct message *msg = &u->answer;
+	const struct message *msg = &u->response;
 	int status = msg->parser.status_code;
 	struct caller *caller = x->caller;
 	GString *headers = g_string_sized_new(256);
-	struct caller_reply answer = {
+	struct caller_reply response = {
 		.status = status,
 		.body = msg->body->data,
 		.body_len = msg->body->len,
@@ -215,10 +215,10 @@
 					       message_value_at(msg, i));
 	x->e->counts.answered++;
 	exchange_log_end(x, status, "answered");
-	answer.headers = headers->str;
+	response.headers = headers->str;
 	exchange_finish(x);
 	if (caller)
-		caller_reply(caller, &answer);
+		caller_reply(caller, &response);
 	g_string_free(headers, TRUE);
 }
 
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -9,36 +9,45 @@
 #include "notices.h"
 #include "repeat.h"
 
-#define ANSWER_HEAD_MAX 32768
-#define ANSWER_BODY_MAX (16 * 1024 * 1024)
-/* A connection takes a round trip and a millisecond; the opening packet of one
- * whose packet was lost is sent again after a second, when another target is
- * the better choice. */
+#define MAX_RESPONSE_HEAD 32768
+#define MAX_RESPONSE_BODY (16 * 1024 * 1024)
+/*
+ * Connecting takes a round trip and a millisecond. If the SYN is lost, it is
+ * sent again only after a second, when another target is the better choice.
+ */
 #define CONNECT_TIMEOUT TR_MSEC(300)
-/* How long a target that could not be reached from here gets nothing from this
- * VM, and one whose address another has. */
+/*
+ * How long this VM sends nothing to a target that it could not reach, and to
+ * one whose address now belongs to another (status 421).
+ */
 #define UNREACHABLE_FOR TR_MSEC(1000)
-#define REUSED_FOR	TR_SEC(3)
-/* From this chance of being gray on, a target's times do not tell how even the
- * service's are; and a single one counts as so many times the expected at most,
- * since a target that has turned slow would else move the mean for long. */
-#define LEARN_RISK 0.3
-#define TOOK_MOST  4
-/* A target that does not say how long connections may rest. */
-#define REST_UNSAID TR_SEC(1)
-/* A failure is news at a target that was held to be well. */
-#define KNOWN_GRAY 0.5
-
-static const char *const words[] = {
+#define MISDIRECTED_FOR TR_SEC(3)
+/*
+ * From this chance of being gray on, a target's latencies say nothing about the
+ * spread of its service's. And a single latency counts as at most this many
+ * times the expected one, since a target that has turned slow would otherwise
+ * move the mean for long.
+ */
+#define MAX_LEARN_RISK	   0.3
+#define MAX_LEARNED_FACTOR 4
+/* For a target that names no Keep-Alive timeout. */
+#define DEFAULT_KEEP_ALIVE TR_SEC(1)
+/*
+ * A failure of a target with a lower chance of being gray is reported at once.
+ */
+#define KNOWN_GRAY_RISK 0.5
+
+static const char *const end_names[] = {
 	"answered", "failed",	 "refused",   "unreached",
 	"broken",   "timed-out", "abandoned",
 };
 
 const char *upstream_end_name(enum upstream_end how)
 {
-	return words[how];
+	return end_names[how];
 }
 
+/* Returns the target's row in the roster, or NULL if the row was reused. */
 static struct tr_instance *row_of(const struct upstream *u)
 {
 	struct tr_instance *row = &u->e->roster.rows[u->row];
@@ -47,17 +56,19 @@
 }
 
 /*
- * Say what was seen. A first failure is told at once and not at the next turn:
- * until the others know, they send on. It gains 0.003 of worth (18 paired days
- * of 44 VMs before 36 targets).
+ * Records a symptom of the target. A first failure is reported to the other VMs
+ * at once and not with the next message: until they know, they keep sending
+ * there. This gains 0.003 of worth (18 paired days of 44 VMs before 36
+ * targets).
  */
-static void say(struct upstream *u, struct tr_instance *row,
-		enum tr_symptom symptom)
+static void report_symptom(struct upstream *u, struct tr_instance *row,
+			   enum tr_symptom symptom)
 {
 	apr_time_t now = entry_now(u->e);
-	bool is_news = symptom == TR_SYMPTOM_FAILED &&
-		       tr_mechanism_enabled(TR_MECH_FIRST_FAILURE_NEWS) &&
-		       tr_gray_probability(&row->gray, now) < KNOWN_GRAY;
+	bool is_first_failure =
+		symptom == TR_SYMPTOM_FAILED &&
+		tr_mechanism_enabled(TR_MECH_FIRST_FAILURE_NEWS) &&
+		tr_gray_probability(&row->gray, now) < KNOWN_GRAY_RISK;
 
 	row->own.count[symptom]++;
 	tr_roster_mark_dirty(&u->e->roster, row);
@@ -65,59 +76,61 @@
 	if (symptom == TR_SYMPTOM_FAILED || symptom == TR_SYMPTOM_OVERDUE)
 		tr_service_stats_add_failure(
 			&u->e->roster.services[row->service], now - u->sent_at);
-	if (is_news)
+	if (is_first_failure)
 		mesh_broadcast_now(u->e->mesh);
 	else
 		mesh_schedule_report(u->e->mesh);
 }
 
-static void say_answered(struct upstream *u, struct tr_instance *row)
+static void report_answered(struct upstream *u, struct tr_instance *row)
 {
 	struct tr_roster *roster = &u->e->roster;
 	apr_time_t now = entry_now(u->e);
 	apr_time_t took = now - u->sent_at;
-	apr_time_t most = u->expected * TOOK_MOST;
-	bool calm =
-		!u->queued && tr_gray_probability(&row->gray, now) < LEARN_RISK;
+	apr_time_t most = u->expected * MAX_LEARNED_FACTOR;
+	bool calm = !u->queued &&
+		    tr_gray_probability(&row->gray, now) < MAX_LEARN_RISK;
 
-	say(u, row, tr_gray_answer_symptom(u->stage));
+	report_symptom(u, row, tr_gray_answer_symptom(u->stage));
 	if (row->cold_until < now)
 		tr_service_stats_add_answer(&roster->services[row->service],
 					    took < most ? took : most, calm);
 }
 
 /*
- * A refusal by a target that should have a slot free, by what the fleet knows,
- * is a symptom; by a full one it only says to stay away a little.
+ * A refusal by a target that by the fleet's knowledge has a free slot is a
+ * symptom. A full target is only avoided for a little while.
  */
-static void say_refused(struct upstream *u, struct tr_instance *row)
+static void report_refused(struct upstream *u, struct tr_instance *row)
 {
 	apr_time_t now = entry_now(u->e);
 	apr_time_t away = u->expected / row->slots;
 
-	if (u->refused_421) {
-		row->unreachable_until = now + REUSED_FOR;
+	if (u->misdirected) {
+		row->unreachable_until = now + MISDIRECTED_FOR;
 		return;
 	}
 	row->full_until =
 		now + away / 2 + tr_random_below(&u->e->random, (uint32_t)away);
 	if (row->in_flight + row->others_in_flight < row->slots)
-		say(u, row, TR_SYMPTOM_LATE);
+		report_symptom(u, row, TR_SYMPTOM_LATE);
 }
 
-static void say_ended(struct upstream *u, struct tr_instance *row,
-		      enum upstream_end how)
+static void report_end(struct upstream *u, struct tr_instance *row,
+		       enum upstream_end how)
 {
 	switch (how) {
 	case UPSTREAM_ANSWERED:
-		say_answered(u, row);
+		report_answered(u, row);
 		break;
 	case UPSTREAM_REFUSED:
-		say_refused(u, row);
+		report_refused(u, row);
 		break;
 	case UPSTREAM_UNREACHED:
 		row->unreachable_until = entry_now(u->e) + UNREACHABLE_FOR;
-		say(u, row, tr_gray_connect_failure_symptom(u->stream.refused));
+		report_symptom(
+			u, row,
+			tr_gray_connect_failure_symptom(u->stream.refused));
 		break;
 	case UPSTREAM_FAILED:
 	case UPSTREAM_BROKEN:
@@ -126,9 +139,9 @@
 		    (u->target_exited || !u->connected))
 			row->unreachable_until =
 				entry_now(u->e) + UNREACHABLE_FOR;
-		/* What was said while it ran is not said again. */
+		/* An overdue attempt has been reported already. */
 		if (u->stage != TR_STAGE_OVERDUE)
-			say(u, row, TR_SYMPTOM_FAILED);
+			report_symptom(u, row, TR_SYMPTOM_FAILED);
 		else
 			tr_roster_end_hang(row, entry_now(u->e));
 		break;
@@ -137,7 +150,7 @@
 	}
 }
 
-/* End it; done is not called. */
+/* Ends the attempt and reports its outcome. The done callback is not called. */
 void upstream_stop(struct upstream *u, enum upstream_end how)
 {
 	struct tr_instance *row;
@@ -157,70 +170,86 @@
 		return;
 	tr_roster_mark_dirty(&u->e->roster, row);
 	mesh_schedule_report(u->e->mesh);
-	say_ended(u, row, how);
+	report_end(u, row, how);
 }
 
-/* How long the target lets the connection rest, in us; 0 when it can't be kept.
+/*
+ * Returns how long the target keeps the idle connection open, in microseconds,
+ * or 0 if it cannot be reused.
  */
-static apr_time_t rest_of(const struct upstream *u)
+static apr_time_t keep_alive_time(const struct upstream *u)
 {
-	const char *text = message_header(&u->answer, "Keep-Alive");
+	const char *text = message_header(&u->response, "Keep-Alive");
 	const char *timeout = text ? strstr(text, "timeout=") : NULL;
 
-	if (!u->keeps || !u->answer.complete || !u->answer.keep_alive ||
-	    !u->answer.framed || !stream_is_drained(&u->stream))
+	if (!u->keeps || !u->response.complete || !u->response.keep_alive ||
+	    !u->response.framed || !stream_is_drained(&u->stream))
 		return 0;
 	if (!timeout)
-		return REST_UNSAID;
+		return DEFAULT_KEEP_ALIVE;
 	return TR_SEC(strtoll(timeout + strlen("timeout="), NULL, 10));
 }
 
-/* The whole answer has come, and nothing after it: keep the connection. */
-static void keep(struct upstream *u)
+/*
+ * Keeps the connection for reuse. The response is complete, and nothing
+ * followed it.
+ */
+static void keep_connection(struct upstream *u)
 {
-	apr_time_t rest = rest_of(u);
+	apr_time_t idle_limit = keep_alive_time(u);
 
-	if (rest > 0)
-		conn_pool_put(u->e, &u->stream, u->row, u->hash, rest);
+	if (idle_limit > 0)
+		conn_pool_put(u->e, &u->stream, u->row, u->hash, idle_limit);
 }
 
-static void over(struct upstream *u, enum upstream_end how)
+/* Ends the attempt and calls its done callback. */
+static void finish(struct upstream *u, enum upstream_end how)
 {
 	upstream_stop(u, how);
 	u->done(u->ctx, u, how);
 }
 
-static enum upstream_end judge(struct upstream *u)
+/*
+ * Returns the outcome by the response. One without the target's stamp does not
+ * come from the target.
+ */
+static enum upstream_end classify_response(struct upstream *u)
 {
 	const struct dialect *d = u->e->dialect;
-	int status = u->answer.parser.status_code;
-	bool stamped = message_header(&u->answer, d->stamp) != NULL;
+	int status = u->response.parser.status_code;
+	bool stamped = message_header(&u->response, d->stamp) != NULL;
 
-	u->refused_421 = status == 421;
-	if (message_header(&u->answer, d->not_run) || status == 421)
+	u->misdirected = status == 421;
+	if (message_header(&u->response, d->not_run) || status == 421)
 		return UPSTREAM_REFUSED;
 	if (!stamped)
 		return UPSTREAM_BROKEN;
 	return status >= 500 ? UPSTREAM_FAILED : UPSTREAM_ANSWERED;
 }
 
-/* An answer to another request may stand before this one's: its id tells. */
-static bool is_ours(const struct upstream *u)
+/*
+ * Returns whether the response is to this request, by the request id. A
+ * response to another request may precede it.
+ */
+static bool is_own_response(const struct upstream *u)
 {
-	const char *id = message_header(&u->answer, u->e->dialect->request_id);
+	const char *id =
+		message_header(&u->response, u->e->dialect->request_id);
 
 	return !id || !strcmp(id, u->request_id);
 }
 
-/* Take in what the target says of itself, as soon as the head of this request's
- * answer is there: the rest of it may never come. */
+/*
+ * Processes what the target reports about itself as soon as the head of this
+ * request's response is there: the rest may never come.
+ */
 static void read_notice(struct upstream *u)
 {
-	if (u->notice_read || !u->answer.head_done ||
-	    u->answer.parser.status_code < 200 || !is_ours(u))
+	if (u->notice_read || !u->response.head_done ||
+	    u->response.parser.status_code < 200 || !is_own_response(u))
 		return;
 	u->notice_read = true;
-	notices_handle(u->e, u->row, u->hash, &u->answer);
+	notices_handle(u->e, u->row, u->hash, &u->response);
 }
 
 static void received(void *ctx, const char *data, size_t len)
@@ -228,28 +257,29 @@
 	struct upstream *u = ctx;
 
 	while (len) {
-		ssize_t used = message_feed(&u->answer, data, len);
+		ssize_t used = message_feed(&u->response, data, len);
 
 		read_notice(u);
 		if (used < 0) {
-			over(u, UPSTREAM_BROKEN);
+			finish(u, UPSTREAM_BROKEN);
 			return;
 		}
-		if (!u->answer.complete)
+		if (!u->response.complete)
 			return;
-		if (u->answer.parser.status_code >= 200 && is_ours(u)) {
+		if (u->response.parser.status_code >= 200 &&
+		    is_own_response(u)) {
 			if ((size_t)used == len)
-				keep(u);
-			over(u, judge(u));
+				keep_connection(u);
+			finish(u, classify_response(u));
 			return;
 		}
-		message_reset(&u->answer);
+		message_reset(&u->response);
 		data += used;
 		len -= (size_t)used;
 	}
 }
 
-static void send_it(struct upstream *u)
+static void send_request(struct upstream *u)
 {
 	u->connected = true;
 	u->sent_at = entry_now(u->e);
@@ -259,39 +289,41 @@
 }
 
 /*
- * The target can't be reached. After a dead kept connection the request may
- * have run on that one: a target that ends under it closes the connection just
- * so, and then refuses the next. Taken for a request that never left, it would
- * go on to the next target without counting as an attempt or a repeat; one
- * would notice by reads at which more targets end than their route allows.
+ * The target cannot be reached. After an idle connection turned out to be dead,
+ * the request may have run on that one: a target that crashes under it closes
+ * the connection in just this way, and then refuses the next. If that counted
+ * as never sent, the request would go to the next target without counting as an
+ * attempt or a repeat, and a read could crash more targets than its route
+ * allows attempts.
  */
-static enum upstream_end unreached(const struct upstream *u)
+static enum upstream_end connect_failed_end(const struct upstream *u)
 {
 	return u->reconnected ? UPSTREAM_BROKEN : UPSTREAM_UNREACHED;
 }
 
-/* May a target have begun to run it? */
+/* Returns whether a target may have begun to run the request. */
 bool upstream_may_have_run(const struct upstream *u)
 {
 	return u->connected || u->reconnected;
 }
 
-static int connect_to(struct upstream *u, const struct stream_callbacks *calls);
+static int connect_to(struct upstream *u,
+		      const struct stream_callbacks *callbacks);
 
-static const struct stream_callbacks calls;
+static const struct stream_callbacks callbacks;
 
-static double heard(const struct entry *e)
+static double heard_share(const struct entry *e)
 {
 	return tr_membership_recent_share(&e->members, entry_now(e));
 }
 
-/* The target is sent one more request: what it takes is less for it. */
+/* Counts the request against the target's limit, if it has one. */
 static void count_sent(const struct upstream *u, const struct tr_instance *row)
 {
 	struct tr_send_limit *l = tr_roster_limit(&u->e->roster, row);
 
 	if (l)
-		tr_send_limit_sent(l, heard(u->e), entry_now(u->e));
+		tr_send_limit_sent(l, heard_share(u->e), entry_now(u->e));
 }
 
 static bool limit_allows(const struct upstream *u,
@@ -299,12 +331,14 @@
 {
 	const struct tr_send_limit *l = tr_roster_limit(&u->e->roster, row);
 
-	return !l || tr_send_limit_tokens(l, heard(u->e), entry_now(u->e)) >= 1;
+	return !l ||
+	       tr_send_limit_tokens(l, heard_share(u->e), entry_now(u->e)) >= 1;
 }
 
 /*
- * The kept connection may have carried the request to the target before it
- * ended: to operators what is sent again is a repeat, and counts as one.
+ * Returns whether the request may be sent on a new connection after an idle one
+ * was dead. The target may have received it on the old one: operators count
+ * what is sent again as a repeat, and so does this VM.
  */
 static bool may_send_again(const struct upstream *u)
 {
@@ -316,58 +350,62 @@
 	       repeat_admit(e, row->service);
 }
 
-static void check_connected(void *ctx)
+static void probe_connected(void *ctx)
 {
-	over(ctx, UPSTREAM_BROKEN);
+	finish(ctx, UPSTREAM_BROKEN);
 }
 
-static void check_ended(void *ctx, enum stream_end why)
+static void probe_ended(void *ctx, enum stream_end why)
 {
 	struct upstream *u = ctx;
 
 	(void)why;
 	u->target_exited = u->stream.refused;
-	over(u, UPSTREAM_BROKEN);
+	finish(u, UPSTREAM_BROKEN);
 }
 
-static void check_late(void *ctx)
+static void probe_timed_out(void *ctx)
 {
 	struct upstream *u = ctx;
 
 	u->probe_timer = NULL;
-	over(u, UPSTREAM_BROKEN);
+	finish(u, UPSTREAM_BROKEN);
 }
 
-static const struct stream_callbacks check_calls = {
-	.connected = check_connected,
-	.ended = check_ended,
+static const struct stream_callbacks probe_callbacks = {
+	.connected = probe_connected,
+	.ended = probe_ended,
 };
 
 /*
- * The connection broke off. Did the target end, or only the connection, as
- * those of gray targets and of harmed links do? Another one tells: where the
- * process is gone it is refused. Before that is known the request isn't sent
- * on, for the next target might end under it too.
+ * The connection broke off. A probe connection tells whether the target exited,
+ * in which case it is refused, or only the connection failed, as happens with
+ * gray targets and faulty links. The request is not sent on before this is
+ * known, because the next target might exit under it too.
  */
-static void check_end(struct upstream *u)
+static void probe_target(struct upstream *u)
 {
 	u->broken_at = entry_now(u->e);
 	if (!row_of(u)) {
-		over(u, UPSTREAM_BROKEN);
+		finish(u, UPSTREAM_BROKEN);
 		return;
 	}
-	if (connect_to(u, &check_calls)) {
+	if (connect_to(u, &probe_callbacks)) {
 		u->target_exited = u->stream.refused;
-		over(u, UPSTREAM_BROKEN);
+		finish(u, UPSTREAM_BROKEN);
 		return;
 	}
-	u->probe_timer = loop_after(u->e->loop, CONNECT_TIMEOUT, check_late, u);
+	u->probe_timer =
+		loop_after(u->e->loop, CONNECT_TIMEOUT, probe_timed_out, u);
 }
 
-/* The kept connection was dead: the same on a new one. Nothing is said of the
- * target, which has mostly not seen the request, unless it must not be sent
- * again: then only a look tells whether the target has ended under it. */
-static void begin_again(struct upstream *u)
+/*
+ * The reused idle connection was dead: sends the request on a new one. Nothing
+ * is reported of the target, which has mostly not seen the request. If the
+ * request must not be sent again, only a probe tells whether the target has
+ * exited under it.
+ */
+static void reconnect(struct upstream *u)
 {
 	u->e->counts.reused_dead++;
 	conn_pool_report_dead(u->e, u->kept_idle_time);
@@ -377,13 +415,13 @@
 	u->started_at = entry_now(u->e);
 	u->broken_at = u->started_at;
 	if (!may_send_again(u)) {
-		check_end(u);
+		probe_target(u);
 		return;
 	}
 	count_sent(u, row_of(u));
-	if (connect_to(u, &calls)) {
+	if (connect_to(u, &callbacks)) {
 		u->target_exited = u->stream.refused;
-		over(u, unreached(u));
+		finish(u, connect_failed_end(u));
 	}
 }
 
@@ -393,26 +431,27 @@
 
 	if (!u->connected) {
 		u->target_exited = u->reconnected && u->stream.refused;
-		over(u, unreached(u));
+		finish(u, connect_failed_end(u));
 		return;
 	}
-	if (u->kept_idle_time && !u->answer.begun) {
-		begin_again(u);
+	if (u->kept_idle_time && !u->response.begun) {
+		reconnect(u);
 		return;
 	}
-	if (why == STREAM_CLOSED && u->answer.head_done && !u->answer.framed &&
-	    message_end_of_stream(&u->answer) && is_ours(u))
-		over(u, judge(u));
+	if (why == STREAM_CLOSED && u->response.head_done &&
+	    !u->response.framed && message_end_of_stream(&u->response) &&
+	    is_own_response(u))
+		finish(u, classify_response(u));
 	else
-		check_end(u);
+		probe_target(u);
 }
 
 static void connected(void *ctx)
 {
-	send_it(ctx);
+	send_request(ctx);
 }
 
-static const struct stream_callbacks calls = {
+static const struct stream_callbacks callbacks = {
 	.connected = connected,
 	.received = received,
 	.ended = ended,
@@ -429,18 +468,18 @@
 			      with, u);
 }
 
-/* Go on with a kept connection, if there is one. */
-static bool take_kept(struct upstream *u)
+/* Sends the request on an idle connection, if there is one. */
+static bool reuse_connection(struct upstream *u)
 {
 	if (!u->keeps || !conn_pool_get(u->e, u->row, u->hash, &u->stream,
-					&calls, u, &u->kept_idle_time))
+					&callbacks, u, &u->kept_idle_time))
 		return false;
 	u->e->counts.reused++;
-	send_it(u);
+	send_request(u);
 	return true;
 }
 
-/* Send the request to the target. 0; or -1 when it could not be begun. */
+/* Starts the attempt. Returns 0, or -1 if no connection could be begun. */
 int upstream_start(struct upstream *u, struct entry *e, uint32_t at,
 		   const struct upstream_request *request,
 		   upstream_done_fn done, void *ctx)
@@ -470,24 +509,24 @@
 	u->body = request->body;
 	u->done = done;
 	u->ctx = ctx;
-	message_init(&u->answer, HTTP_RESPONSE, ANSWER_HEAD_MAX,
-		     ANSWER_BODY_MAX);
-	u->answer.head_only = request->head_only;
+	message_init(&u->response, HTTP_RESPONSE, MAX_RESPONSE_HEAD,
+		     MAX_RESPONSE_BODY);
+	u->response.head_only = request->head_only;
 	row->in_flight++;
 	count_sent(u, row);
 	row->used_at = u->started_at;
 	tr_roster_mark_dirty(&u->e->roster, row);
 	mesh_schedule_report(e->mesh);
 	u->active = true;
-	if (take_kept(u) || !connect_to(u, &calls))
+	if (reuse_connection(u) || !connect_to(u, &callbacks))
 		return 0;
 	upstream_stop(u, UPSTREAM_UNREACHED);
 	return -1;
 }
 
 /*
- * Look at a running attempt: say what its age tells of the target. When to
- * look again; an attempt that could not connect in time is over.
+ * Checks the age of a running attempt and reports what it tells of the target.
+ * Returns when to check again. Ends an attempt that could not connect in time.
  */
 apr_time_t upstream_check_age(struct upstream *u, apr_time_t now)
 {
@@ -496,7 +535,7 @@
 	if (u->probe_timer)
 		return APR_INT64_MAX;
 	if (!u->connected && now >= u->started_at + CONNECT_TIMEOUT) {
-		over(u, unreached(u));
+		finish(u, connect_failed_end(u));
 		return now;
 	}
 	if (!u->connected)
@@ -513,13 +552,14 @@
 			return at;
 		u->stage = next;
 		if (row)
-			say(u, row, tr_gray_stage_symptom(next));
+			report_symptom(u, row, tr_gray_stage_symptom(next));
 	}
 	return APR_INT64_MAX;
 }
 
+/* Cancels the attempt if it runs, and frees its memory. */
 void upstream_release(struct upstream *u)
 {
 	upstream_stop(u, UPSTREAM_ABANDONED);
-	message_free(&u->answer);
+	message_free(&u->response);
 }
--- a/entry/upstream.h
+++ b/entry/upstream.h
@@ -1,17 +1,18 @@
 #ifndef UPSTREAM_H
 #define UPSTREAM_H
 
+/* Attempts to have a request answered by a target. */
 #include "entry.h"
 
 /* How one attempt at a target ended. */
 enum upstream_end {
-	UPSTREAM_ANSWERED,
-	UPSTREAM_FAILED,
-	UPSTREAM_REFUSED,
-	UPSTREAM_UNREACHED,
-	UPSTREAM_BROKEN,
-	UPSTREAM_TIMED_OUT,
-	UPSTREAM_ABANDONED,
+	UPSTREAM_ANSWERED,  /* by a response below 500 */
+	UPSTREAM_FAILED,    /* by a response of 500 or above */
+	UPSTREAM_REFUSED,   /* the target says that it has not run it */
+	UPSTREAM_UNREACHED, /* could not connect, nothing was sent */
+	UPSTREAM_BROKEN,    /* the connection or the response broke off */
+	UPSTREAM_TIMED_OUT, /* the deadline passed */
+	UPSTREAM_ABANDONED, /* cancelled, nothing is learned from it */
 };
 
 struct upstream;
@@ -19,36 +20,35 @@
 typedef void (*upstream_done_fn)(void *ctx, struct upstream *u,
 				 enum upstream_end how);
 
-/*
- * One attempt at one target. keeps: its connection may be a kept one and is
- * kept after it; rested is how long a kept one had rested, 0 for a new one;
- * begun_again: a kept one was dead, and a new one took its place. broke_at is
- * when the connection broke off before the answer, and target_ended tells that
- * the target itself did; ends_known is of how many such ends under the same
- * request this VM knew when it sent it.
- */
+/* One attempt at one target. */
 struct upstream {
 	struct entry *e;
 	bool active;
-	bool connected;
-	enum tr_request_stage stage;
-	bool refused_421;
-	bool notice_read;
-	uint32_t row;
-	uint32_t hash;
+	bool connected;		     /* and the request was written */
+	enum tr_request_stage stage; /* how late it is */
+	bool misdirected; /* status 421: the address is another target's */
+	bool notice_read; /* the target's report about itself was processed */
+	uint32_t row;	  /* index in the roster */
+	uint32_t hash;	  /* tells a later target in the same row */
 	struct stream stream;
-	struct message answer;
+	struct message response;
 	apr_time_t started_at;
 	apr_time_t sent_at;
+	/* The expected latency with any wait in the target's queue. */
 	apr_time_t expected;
 	double spread;
 	bool queued;
 	bool keeps;
+	/* How long the reused connection was idle; 0 for a new one. */
 	apr_time_t kept_idle_time;
-	bool reconnected;
-	struct loop_timer *probe_timer;
-	apr_time_t broken_at;
-	bool target_exited;
+	bool reconnected;		/* a reused connection was dead */
+	struct loop_timer *probe_timer; /* runs during probe_target() */
+	apr_time_t broken_at;		/* when the connection broke off */
+	bool target_exited;		/* it refused a new connection */
+	/*
+	 * How many exits of targets under the same request this VM knew of when
+	 * it was sent.
+	 */
 	unsigned known_exits;
 	const char *request_id;
 	upstream_done_fn done;
@@ -58,19 +58,20 @@
 };
 
 /*
- * What is sent: the head is given up to the attempt, the body stays. expected
- * is how long the answer usually takes, with the wait if it is queued there;
- * keeps tells that the request may be sent once more, on a connection that may
- * turn out to be dead.
+ * The request to send. The attempt takes over head; body stays with the caller.
  */
 struct upstream_request {
 	const char *request_id;
 	GString *head;
 	const GByteArray *body;
 	bool head_only;
+	/* Behind other work of the target. */
 	bool queued;
+	/* It may be sent again, so an idle connection may be used for it. */
 	bool keeps;
+	/* The expected latency with any wait in the target's queue. */
 	apr_time_t expected;
+	/* Standard deviation of the logarithm of the latency. */
 	double spread;
 	unsigned known_exits;
 };
