--- a/tests/crash_path_test.cc
+++ b/tests/crash_path_test.cc
@@ -1,6 +1,6 @@
 /*
  * Requests that crash targets, over loopback: several real entry VMs, and
- * targets that end under a given path and come back after a while.
+ * targets that exit when they run a given path and restart after a while.
  */
 #include <gtest/gtest.h>
 #include <memory>
@@ -14,22 +14,25 @@
 {
 
 constexpr unsigned VMS = 4, TARGETS = 6;
-constexpr auto BEAT = std::chrono::milliseconds(300);
-/* An entry that is not renewed for so long is removed. */
+constexpr auto RENEW_PERIOD = std::chrono::milliseconds(300);
+/* The store removes an entry that is not renewed for this long. */
 constexpr auto LEASE = std::chrono::milliseconds(1500);
-constexpr auto BACK_AFTER = std::chrono::milliseconds(800);
-/* When every VM in touch must know of the third target that ended. */
+constexpr auto RESTART_AFTER = std::chrono::milliseconds(800);
+/* By then every reachable VM must know of the third target that exited. */
 constexpr auto BOUND = std::chrono::seconds(3);
-constexpr unsigned MOST_AFTER_BOUND = 3;
+constexpr unsigned MAX_CRASHES_AFTER_BOUND = 3;
 constexpr int DEADLINE_MS = 2500;
 
-/* One start of a target. A request whose path names "fall" ends it. */
-class Start
+/*
+ * One process of a target. It exits when it runs a request with "fall" in its
+ * path.
+ */
+class TargetProcess
 {
       public:
-	Start(std::string id_, const Address &at, Store &store_,
-	      std::atomic<unsigned> &falls_)
-	    : id(std::move(id_)), store(store_), falls(falls_),
+	TargetProcess(std::string id_, const Address &at, Store &store_,
+		      std::atomic<unsigned> &crashes_)
+	    : id(std::move(id_)), store(store_), crashes(crashes_),
 	      listener(at, [this](int fd, const std::string &) { serve(fd); })
 	{
 	}
@@ -38,13 +41,14 @@
 	{
 		if (!listener.open())
 			return false;
-		beat();
+		renew();
 		return true;
 	}
 
-	void beat()
+	/* Renews the target's entry in the store. */
+	void renew()
 	{
-		beat_at = Clock::now();
+		renewed_at = Clock::now();
 		store.write("servers/" + id,
 			    R"({"address":")" + listener.address.text() +
 				    R"(","info":{"service":"s1","version":"v",)"
@@ -54,18 +58,18 @@
 				    std::to_string(++sequence) + "}}");
 	}
 
-	/* Everything that it had in flight breaks off. */
+	/* Exits: all requests in flight break off. */
 	void end()
 	{
-		ended = true;
-		ended_at = Clock::now();
+		exited = true;
+		exited_at = Clock::now();
 		listener.shut();
 	}
 
 	const std::string id;
-	std::atomic<bool> fallen{ false };
-	std::atomic<bool> ended{ false };
-	Time beat_at{}, ended_at{};
+	std::atomic<bool> crashing{ false };
+	std::atomic<bool> exited{ false };
+	Time renewed_at{}, exited_at{};
 
       private:
 	void serve(int fd)
@@ -88,17 +92,17 @@
 			return send_all(fd,
 					http(421, "X-Not-Executed: 1\r\n", ""));
 		if (line.find("fall") != std::string::npos) {
-			falls++;
+			crashes++;
 			usleep(20000);
-			fallen = true;
-			while (!ended)
+			crashing = true;
+			while (!exited)
 				usleep(1000);
 			return false;
 		}
 		if (line.find("reset") != std::string::npos)
 			return false;
 		usleep(5000);
-		return !ended &&
+		return !exited &&
 		       send_all(fd,
 				http(200,
 				     "X-Request-Id: " +
@@ -108,7 +112,7 @@
 	}
 
 	Store &store;
-	std::atomic<unsigned> &falls;
+	std::atomic<unsigned> &crashes;
 	unsigned sequence = 0;
 	Listener listener;
 };
@@ -119,12 +123,12 @@
 	std::string net, dir;
 	std::unique_ptr<Store> store;
 	std::vector<std::unique_ptr<Vm>> vms;
-	/* Runs under which a target ended. */
-	std::atomic<unsigned> falls{ 0 };
-	std::thread keeper;
-	std::atomic<bool> over{ false };
+	/* Runs of requests under which a target exited. */
+	std::atomic<unsigned> crashes{ 0 };
+	std::thread supervisor;
+	std::atomic<bool> stopped{ false };
 	std::mutex mutex;
-	std::vector<std::unique_ptr<Start>> starts;
+	std::vector<std::unique_ptr<TargetProcess>> starts;
 	unsigned started = 0;
 	std::atomic<unsigned> asked{ 0 };
 
@@ -142,24 +146,25 @@
 		write_config();
 		for (unsigned i = 0; i < TARGETS; i++)
 			ASSERT_TRUE(start_target(i));
-		keeper = std::thread([this] { keep(); });
+		supervisor = std::thread([this] { supervise(); });
 		for (unsigned i = 0; i < VMS; i++)
 			start_vm(i);
 		for (unsigned i = 0; i < VMS; i++)
-			ASSERT_TRUE(becomes(
-				[&] { return ask(i, "/read/warm") == 200; }));
-		/* So that each VM keeps connections to most targets. */
+			ASSERT_TRUE(eventually([&] {
+				return request_status(i, "/read/warm") == 200;
+			}));
+		/* So that each VM has idle connections to most targets. */
 		for (unsigned n = 0; n < 20 * VMS; n++)
-			ask(n % VMS, "/read/warm");
+			request_status(n % VMS, "/read/warm");
 	}
 
 	void TearDown() override
 	{
 		for (unsigned i = 0; HasFailure() && i < vms.size(); i++)
 			print_log(i);
-		over = true;
-		if (keeper.joinable())
-			keeper.join();
+		stopped = true;
+		if (supervisor.joinable())
+			supervisor.join();
 		vms.clear();
 		starts.clear();
 		store.reset();
@@ -196,10 +201,10 @@
 
 	bool start_target(unsigned place)
 	{
-		auto start = std::make_unique<Start>(
+		auto start = std::make_unique<TargetProcess>(
 			"i-" + std::to_string(++started),
 			Address{ net + std::to_string(100 + place), 9000 },
-			*store, falls);
+			*store, crashes);
 
 		if (!start->open())
 			return false;
@@ -223,28 +228,32 @@
 		vms[i]->start();
 	}
 
-	/* Ends targets that have fallen, starts them again under a new id, and
-	 * removes entries that nobody renews, as the platform does. */
-	void keep()
+	/*
+	 * Stops crashing targets, restarts them under a new id, and removes
+	 * entries that nobody renews, as the platform does.
+	 */
+	void supervise()
 	{
 		std::map<std::string, Clock::time_point> leases;
 
-		while (!over) {
+		while (!stopped) {
 			std::this_thread::sleep_for(
 				std::chrono::milliseconds(2));
 			std::lock_guard<std::mutex> lock(mutex);
 			auto now = Clock::now();
 
 			for (unsigned i = 0; i < starts.size(); i++) {
-				Start &s = *starts[i];
+				TargetProcess &s = *starts[i];
 
-				if (s.fallen && !s.ended)
+				if (s.crashing && !s.exited)
 					s.end();
-				if (s.ended && now - s.ended_at > BACK_AFTER) {
-					leases[s.id] = s.beat_at + LEASE;
+				if (s.exited &&
+				    now - s.exited_at > RESTART_AFTER) {
+					leases[s.id] = s.renewed_at + LEASE;
 					start_target(i);
-				} else if (!s.ended && now - s.beat_at > BEAT) {
-					s.beat();
+				} else if (!s.exited &&
+					   now - s.renewed_at > RENEW_PERIOD) {
+					s.renew();
 				}
 			}
 			for (auto it = leases.begin(); it != leases.end();) {
@@ -259,7 +268,7 @@
 		}
 	}
 
-	bool becomes(const std::function<bool()> &what)
+	bool eventually(const std::function<bool()> &what)
 	{
 		for (int i = 0; i < 1000; i++) {
 			if (what())
@@ -270,8 +279,8 @@
 		return false;
 	}
 
-	std::string answer_to(unsigned vm, const std::string &path,
-			      const std::string &body = "")
+	std::string send_request(unsigned vm, const std::string &path,
+				 const std::string &body = "")
 	{
 		int fd = dial({ vms[vm]->ip, FRONT_PORT }, DEADLINE_MS);
 		std::string rest, answer;
@@ -291,125 +300,133 @@
 		return answer;
 	}
 
-	int ask(unsigned vm, const std::string &path,
-		const std::string &body = "")
+	int request_status(unsigned vm, const std::string &path,
+			   const std::string &body = "")
 	{
-		std::string answer = answer_to(vm, path, body);
+		std::string answer = send_request(vm, path, body);
 
 		return answer.size() < 12 ? 0 : std::stoi(answer.substr(9, 3));
 	}
 
-	/* Until the third target has ended, at one VM after the other. */
-	void end_three(const std::string &path, const std::string &body = "")
+	/*
+	 * Sends the request to one VM after the other until it has crashed
+	 * three targets, and waits until all VMs must know.
+	 */
+	void crash_three(const std::string &path, const std::string &body = "")
 	{
-		for (unsigned n = 0; falls < 3; n++)
-			ask(n % VMS, path, body);
+		for (unsigned n = 0; crashes < 3; n++)
+			request_status(n % VMS, path, body);
 		std::this_thread::sleep_for(BOUND);
 	}
 
-	/* Sent on at all VMs; how many targets end under it. */
-	unsigned fall_under(unsigned times, const std::string &path,
-			    const std::string &body = "")
+	/*
+	 * Sends the request through all VMs in turn. Returns how many targets
+	 * exit under it.
+	 */
+	unsigned count_crashes(unsigned times, const std::string &path,
+			       const std::string &body = "")
 	{
-		unsigned before = falls;
+		unsigned before = crashes;
 
 		for (unsigned n = 0; n < times; n++) {
-			ask(n % VMS, path, body);
+			request_status(n % VMS, path, body);
 			std::this_thread::sleep_for(
 				std::chrono::milliseconds(50));
 		}
-		return falls - before;
+		return crashes - before;
 	}
 };
 
 /*
- * Symptom: a request under which three targets had ended was sent to targets
- * 12 and 15 times more, and most reads of the service failed meanwhile.
- * Sequence: a read ends each target that runs it; it comes again and again,
- * under a new id, at any VM. Cause: nothing was kept of a request but its id,
- * so each VM took each one for new. Evidence: the lines of the requests that
- * broke off bear one identity, and each names a target that ended as it did.
+ * Guards against a request that crashes target after target: sent again under a
+ * new id at any VM, it reached 12 and 15 more targets after the first three,
+ * and most reads of the service failed meanwhile. VMs knew a request only by
+ * its id and took each one for new. The log lines of the requests that broke
+ * off share one identity, and each names a target that exited as it did.
  */
-TEST_F(CrashPath, AReadThatEndsTargetsIsSoonSentNoMore)
+TEST_F(CrashPath, AReadThatCrashesTargetsIsSoonRefused)
 {
-	end_three("/read/fall");
-	EXPECT_LE(fall_under(24, "/read/fall"), MOST_AFTER_BOUND);
+	crash_three("/read/fall");
+	EXPECT_LE(count_crashes(24, "/read/fall"), MAX_CRASHES_AFTER_BOUND);
 	for (unsigned i = 0; i < VMS; i++)
-		EXPECT_EQ(ask(i, "/read/other"), 200);
-	/* Nothing has run, and coming back soon is of no use. */
-	std::string answer = answer_to(0, "/read/fall");
+		EXPECT_EQ(request_status(i, "/read/other"), 200);
+	/* Nothing has run, and a quick retry is of no use. */
+	std::string answer = send_request(0, "/read/fall");
 
 	EXPECT_EQ(answer.substr(9, 3), "503");
 	EXPECT_GT(std::stod(header(answer, "Retry-After")), 10);
 }
 
-/* Targets that live and break off what they get are no proof. */
-TEST_F(CrashPath, AReadThatLivingTargetsBreakOffIsStillSent)
+/* A target that resets the connection and lives on is no evidence. */
+TEST_F(CrashPath, AReadThatLiveTargetsResetIsStillSent)
 {
 	for (unsigned n = 0; n < 24; n++)
-		EXPECT_EQ(ask(n % VMS, "/read/reset"), 502);
-	EXPECT_EQ(falls, 0u);
+		EXPECT_EQ(request_status(n % VMS, "/read/reset"), 502);
+	EXPECT_EQ(crashes, 0u);
 }
 
-TEST_F(CrashPath, AnOrderThatEndsTargetsIsSoonSentNoMore)
+TEST_F(CrashPath, AnOrderThatCrashesTargetsIsSoonRefused)
 {
-	end_three("/order/fall", "body");
-	EXPECT_LE(fall_under(24, "/order/fall", "body"), MOST_AFTER_BOUND);
+	crash_three("/order/fall", "body");
+	EXPECT_LE(count_crashes(24, "/order/fall", "body"),
+		  MAX_CRASHES_AFTER_BOUND);
 	for (unsigned i = 0; i < VMS; i++)
-		EXPECT_EQ(ask(i, "/order/other", "body"), 200);
+		EXPECT_EQ(request_status(i, "/order/other", "body"), 200);
 }
 
-/* A VM that has just started must know as well. */
-TEST_F(CrashPath, AVmThatStartsAnewSendsItNoMore)
+/* A VM that has just started must know the refused requests as well. */
+TEST_F(CrashPath, ARestartedVmRefusesItToo)
 {
-	end_three("/read/fall");
+	crash_three("/read/fall");
 	for (unsigned i = 0; i < VMS; i++) {
 		vms[i]->kill_now();
 		vms[i]->start();
-		ASSERT_TRUE(
-			becomes([&] { return ask(i, "/read/warm") == 200; }));
+		ASSERT_TRUE(eventually([&] {
+			return request_status(i, "/read/warm") == 200;
+		}));
 	}
-	EXPECT_LE(fall_under(24, "/read/fall"), MOST_AFTER_BOUND);
+	EXPECT_LE(count_crashes(24, "/read/fall"), MAX_CRASHES_AFTER_BOUND);
 }
 
 /*
- * Symptom: after a quick restart of one VM after the other three more targets
- * end. Sequence: each new VM serves as soon as it has a configuration, which
- * the others answer its first call with; the next one is stopped. Cause: that
- * answer did not tell what is refused; only routine messages did, twice a
- * second. Evidence: with that in the answer no target ends in any of six runs,
- * without it three end in three of four.
+ * Guards against three more crashes after a quick rolling restart. A new VM
+ * serves as soon as it has a configuration, which another VM gives it in reply
+ * to its first call, and the next VM is stopped. That reply did not contain the
+ * refused requests; only routine messages did, twice a second. With them in the
+ * reply no target exits in any of six runs, without them three exit in three of
+ * four.
  */
 TEST_F(CrashPath, ARollingRestartForgetsNothing)
 {
-	end_three("/read/fall");
+	crash_three("/read/fall");
 	for (unsigned i = 0; i < VMS; i++) {
 		vms[i]->kill_now();
 		vms[i]->start();
-		ASSERT_TRUE(
-			becomes([&] { return ask(i, "/read/warm") == 200; }));
+		ASSERT_TRUE(eventually([&] {
+			return request_status(i, "/read/warm") == 200;
+		}));
 	}
-	EXPECT_EQ(fall_under(24, "/read/fall"), 0u);
+	EXPECT_EQ(count_crashes(24, "/read/fall"), 0u);
 }
 
 /*
- * Symptom: one read was sent to four targets, which ended one after the other,
- * on a route of two attempts. Sequence: an attempt goes on a kept connection;
- * the target ends and closes it; the attempt begins again on a new connection,
- * which is refused. Cause: that was taken for a request that never reached a
- * target, which is no attempt and no repeat. Evidence: the line of the read's
- * end says runs=2 begun_again=1 and names three targets.
+ * Guards against a read that reaches four targets on a route of two attempts.
+ * The target exits and closes the idle connection that was reused; the attempt
+ * reconnects and is refused. That was taken for a request that never reached a
+ * target, which counts neither as an attempt nor as a repeat. The read's log
+ * line says runs=2 begun_again=1 and names three targets.
  */
-TEST_F(CrashPath, OneReadEndsNoMoreTargetsThanItsRouteAllows)
+TEST_F(CrashPath, OneReadCrashesNoMoreTargetsThanItsRouteAllows)
 {
-	ask(0, "/read/fall");
-	EXPECT_LE(falls, 2u);
+	request_status(0, "/read/fall");
+	EXPECT_LE(crashes, 2u);
 }
 
-/* Guards against requests that end targets and are sent on for ever, since the
- * end of a target under a kept connection is seen only where a repeat is left.
+/*
+ * Guards against requests that crash targets and are sent on for ever, because
+ * a crash on a reused connection was seen only while repeats were left.
  */
-TEST_F(CrashPath, AnEndUnderAKeptConnectionIsSeenWhereNoRepeatIsLeft)
+TEST_F(CrashPath, ACrashOnAReusedConnectionIsSeenWithNoRepeatLeft)
 {
 	for (auto &vm : vms) {
 		vm->repeats = false;
@@ -417,18 +434,19 @@
 		vm->start();
 	}
 	for (unsigned i = 0; i < VMS; i++)
-		ASSERT_TRUE(
-			becomes([&] { return ask(i, "/read/warm") == 200; }));
+		ASSERT_TRUE(eventually([&] {
+			return request_status(i, "/read/warm") == 200;
+		}));
 	for (unsigned n = 0; n < 20 * VMS; n++)
-		ask(n % VMS, "/read/warm");
-	EXPECT_LE(fall_under(24, "/read/fall"), 3u);
+		request_status(n % VMS, "/read/warm");
+	EXPECT_LE(count_crashes(24, "/read/fall"), 3u);
 }
 
 /*
- * Beside it: targets that end for other reasons, two at a time, under a read
- * that four callers ask for all the time. It is never refused for that.
+ * Targets crash for other reasons, two at a time, under a read that four
+ * callers send all the time. It is never refused for that.
  */
-TEST_F(CrashPath, AReadThatOnlySuffersIsServedOn)
+TEST_F(CrashPath, AReadHitByUnrelatedCrashesIsStillServed)
 {
 	std::atomic<unsigned> refused{ 0 };
 	std::atomic<bool> done{ false };
@@ -437,7 +455,8 @@
 	for (unsigned i = 0; i < VMS; i++)
 		callers.emplace_back([&, i] {
 			while (!done) {
-				refused += ask(i, "/read/popular") == 503;
+				refused += request_status(i, "/read/popular") ==
+					   503;
 				usleep(2000);
 			}
 		});
@@ -445,17 +464,17 @@
 		{
 			std::lock_guard<std::mutex> lock(mutex);
 
-			starts[n % TARGETS]->fallen = true;
-			starts[(n + 1) % TARGETS]->fallen = true;
+			starts[n % TARGETS]->crashing = true;
+			starts[(n + 1) % TARGETS]->crashing = true;
 		}
-		std::this_thread::sleep_for(BACK_AFTER * 2);
+		std::this_thread::sleep_for(RESTART_AFTER * 2);
 	}
 	done = true;
 	for (auto &caller : callers)
 		caller.join();
 	EXPECT_EQ(refused, 0u);
 	for (unsigned i = 0; i < VMS; i++)
-		EXPECT_EQ(ask(i, "/read/popular"), 200);
+		EXPECT_EQ(request_status(i, "/read/popular"), 200);
 }
 
 } // namespace
--- a/tests/entry_path_test.cc
+++ b/tests/entry_path_test.cc
@@ -1,6 +1,6 @@
 /*
- * The whole path of an entry VM over loopback: the real program, a store and a
- * target that the tests play.
+ * The whole path of an entry VM over loopback: the real program, with a store
+ * and a target that the tests provide.
  */
 #include <atomic>
 #include <chrono>
@@ -52,10 +52,9 @@
 }
 
 /*
- * A port that nobody has. They lie below the range from which the kernel takes
- * the ports of outgoing connections, and apart for each process: a port that
- * was free a moment ago could else be taken by a connection of another test
- * before the program binds it.
+ * Returns a free port. Ports are chosen below the range that the kernel uses
+ * for outgoing connections, and apart for each process: otherwise a connection
+ * of another test could take the port before the program binds it.
  */
 uint16_t free_port()
 {
@@ -82,24 +81,28 @@
 class Entry : public testing::Test
 {
       protected:
-	HttpFake::Handler at_target = [](const std::string &request) {
+	HttpFake::Handler target_handler = [](const std::string &request) {
 		return http(200,
 			    "X-Request-Id: " + header(request, "X-Request-Id") +
 				    "\r\nX-Server-Stamp: s.1\r\n",
 			    "fine");
 	};
 	std::atomic<int> version{ 1 };
-	std::atomic<bool> store_away{ false };
-	std::atomic<bool> config_cut{ false };
+	std::atomic<bool> store_down{ false };
+	std::atomic<bool> truncate_config{ false };
 	std::string header_timeout = "3s", idle_timeout = "9s";
-	/* Organisations of the configuration, as rows, and whether a VM must
-	 * prove that their keys are still good, within how long. */
+	/*
+	 * Organisations of the configuration, as rows; within which time a VM
+	 * must prove that their keys are still valid, and whether it must.
+	 */
 	std::string organisations, proof = "5s";
 	bool fail_closed = false;
 	HttpFake target{ [this](const std::string &r) {
-		return at_target(r);
+		return target_handler(r);
+	} };
+	HttpFake store{ [this](const std::string &r) {
+		return store_handler(r);
 	} };
-	HttpFake store{ [this](const std::string &r) { return stored(r); } };
 	uint16_t front = free_port(), ready = free_port(),
 		 directory = free_port(), peer = free_port(),
 		 metrics = free_port();
@@ -131,7 +134,7 @@
 					   organisations + "]}") +
 			"}";
 
-		return config_cut ? text.substr(0, text.size() / 2) : text;
+		return truncate_config ? text.substr(0, text.size() / 2) : text;
 	}
 
 	std::string item(const std::string &key, const std::string &value,
@@ -141,7 +144,7 @@
 		       R"(","rev":)" + std::to_string(rev) + "}";
 	}
 
-	std::string stored(const std::string &request)
+	std::string store_handler(const std::string &request)
 	{
 		std::string entry =
 			R"({"address":"127.0.0.1:)" +
@@ -153,7 +156,7 @@
 				    "," + item("servers/i-1", entry, 5);
 		bool watch = request.find("kv-watch") != std::string::npos;
 
-		if (store_away)
+		if (store_down)
 			return http(503, "", "");
 		if (watch)
 			std::this_thread::sleep_for(
@@ -188,28 +191,28 @@
 
 	void start()
 	{
-		int ends[2];
+		int pipe_fds[2];
 
 		path = testing::TempDir() + "entry-" +
 		       std::to_string(getpid()) + "-" + std::to_string(front) +
 		       ".yaml";
 		write_settings();
-		ASSERT_EQ(pipe2(ends, O_CLOEXEC), 0);
+		ASSERT_EQ(pipe2(pipe_fds, O_CLOEXEC), 0);
 		pid = fork();
 		if (!pid) {
-			dup2(ends[1], STDOUT_FILENO);
+			dup2(pipe_fds[1], STDOUT_FILENO);
 			execl(ENTRY_PROGRAM, "toucanreel-entry", "--settings",
 			      path.c_str(), nullptr);
 			_exit(127);
 		}
-		close(ends[1]);
-		log_fd = ends[0];
+		close(pipe_fds[1]);
+		log_fd = pipe_fds[0];
 	}
 
 	void start_ready()
 	{
 		start();
-		ASSERT_TRUE(becomes([this] { return readiness() == 200; }));
+		ASSERT_TRUE(eventually([this] { return readiness() == 200; }));
 	}
 
 	void TearDown() override
@@ -223,8 +226,8 @@
 		unlink(path.c_str());
 	}
 
-	/* Wait for what must come, for as long as a slow machine may need. */
-	bool becomes(const std::function<bool()> &what)
+	/* Waits for a condition, for as long as a slow machine may need. */
+	bool eventually(const std::function<bool()> &what)
 	{
 		for (int i = 0; i < 1000; i++) {
 			if (what())
@@ -237,19 +240,21 @@
 
 	int readiness()
 	{
-		return status_of(http_ask(ready, "GET /v1/readiness HTTP/1.1"
-						 "\r\nHost: x\r\n\r\n"));
+		return status_of(http_request(ready,
+					      "GET /v1/readiness HTTP/1.1"
+					      "\r\nHost: x\r\n\r\n"));
 	}
 
-	std::string ask(const std::string &line, const std::string &more = "",
-			const std::string &body = "")
+	std::string send_request(const std::string &line,
+				 const std::string &extra_headers = "",
+				 const std::string &body = "")
 	{
-		return http_ask(
+		return http_request(
 			front,
 			line +
 				" HTTP/1.1\r\nHost: h.x\r\nX-Request-Id: id-7"
 				"\r\nX-Deadline-Ms: 2500\r\n" +
-				more +
+				extra_headers +
 				(body.empty()
 					 ? ""
 					 : "Content-Length: " +
@@ -258,7 +263,7 @@
 				"\r\n" + body);
 	}
 
-	/* What the log holds until now. */
+	/* Returns what was logged since the last call. */
 	std::string log()
 	{
 		std::string text;
@@ -272,10 +277,11 @@
 	}
 };
 
-TEST_F(Entry, ARequestGoesToItsTargetAndItsAnswerBack)
+TEST_F(Entry, ForwardsARequestAndItsResponse)
 {
 	start_ready();
-	std::string answer = ask("GET /read/a?b=c", "X-Other: kept\r\n");
+	std::string answer =
+		send_request("GET /read/a?b=c", "X-Other: kept\r\n");
 
 	EXPECT_EQ(status_of(answer), 200) << answer;
 	EXPECT_EQ(header(answer, "X-Server-Stamp"), "s.1");
@@ -286,19 +292,19 @@
 	EXPECT_EQ(header(sent, "X-Expect-Instance"), "i-1");
 	EXPECT_EQ(header(sent, "X-Other"), "kept");
 	EXPECT_LE(std::stoi(header(sent, "X-Deadline-Ms")), 2500);
-	EXPECT_EQ(status_of(ask("GET /none/")), 404);
+	EXPECT_EQ(status_of(send_request("GET /none/")), 404);
 }
 
-TEST_F(Entry, MetricsTellTimesByServiceKindOutcomeAndCause)
+TEST_F(Entry, MetricsHaveLatencyByServiceKindOutcomeAndCause)
 {
 	std::string labels = "{service=\"s1\",kind=\"safe\",outcome="
 			     "\"answered\",cause=\"answered\"";
 
 	start_ready();
-	ask("GET /read/a");
-	ask("GET /read/b");
-	std::string text = http_ask(metrics, "GET /metrics HTTP/1.1\r\n"
-					     "Host: x\r\n\r\n");
+	send_request("GET /read/a");
+	send_request("GET /read/b");
+	std::string text = http_request(metrics, "GET /metrics HTTP/1.1\r\n"
+						 "Host: x\r\n\r\n");
 	EXPECT_NE(text.find("toucanreel_entry_request_seconds_bucket" + labels +
 			    ",le=\"+Inf\"} 2\n"),
 		  std::string::npos)
@@ -313,9 +319,9 @@
 TEST_F(Entry, LookupsNameTheVm)
 {
 	start_ready();
-	std::string answer =
-		http_ask(directory, "GET /v1/resolve?name=h.x&region=r&zone=z "
-				    "HTTP/1.1\r\nHost: x\r\n\r\n");
+	std::string answer = http_request(
+		directory, "GET /v1/resolve?name=h.x&region=r&zone=z "
+			   "HTTP/1.1\r\nHost: x\r\n\r\n");
 
 	EXPECT_NE(answer.find("\"127.0.0.1:" + std::to_string(front) + "\""),
 		  std::string::npos)
@@ -323,41 +329,40 @@
 	EXPECT_NE(answer.find("\"ttl\":\"5000ms\""), std::string::npos);
 }
 
-TEST_F(Entry, WithoutAConfigurationNothingIsSaidToBeMissing)
+TEST_F(Entry, WithoutAConfigurationNoRouteIsReportedMissing)
 {
-	store_away = true;
+	store_down = true;
 	start();
-	ASSERT_TRUE(becomes([this] { return readiness() == 503; }));
-	std::string answer = ask("GET /read/a");
+	ASSERT_TRUE(eventually([this] { return readiness() == 503; }));
+	std::string answer = send_request("GET /read/a");
 	EXPECT_EQ(status_of(answer), 503);
 	EXPECT_NE(header(answer, "Retry-After"), "");
-	store_away = false;
-	EXPECT_TRUE(becomes([this] { return readiness() == 200; }));
+	store_down = false;
+	EXPECT_TRUE(eventually([this] { return readiness() == 200; }));
 }
 
 /*
- * Symptom: an order is run twice, or is said not to have run though it has.
- * Sequence: a target reads it and its connection ends without an answer.
- * Cause: it was sent again, or refused with a promise.
+ * Guards against an order that runs twice or is said not to have run: a target
+ * reads it and closes the connection without an answer. It was sent again, or
+ * refused with a status that promises that nothing ran.
  */
-TEST_F(Entry, WhatMayHaveRunIsNeitherSentAgainNorDenied)
+TEST_F(Entry, AnOrderThatMayHaveRunIsNeitherRetriedNorDenied)
 {
-	at_target = [](const std::string &) { return std::string(); };
+	target_handler = [](const std::string &) { return std::string(); };
 	start_ready();
-	EXPECT_EQ(status_of(ask("POST /order/1", "", "body")), 502);
+	EXPECT_EQ(status_of(send_request("POST /order/1", "", "body")), 502);
 	EXPECT_EQ(target.seen().size(), 1u);
 }
 
 /*
- * Symptom: callers whose time runs out get no answer at all. Sequence: a target
- * hangs; the VM gives up a few milliseconds before the caller does, and its
- * answer is still on its way. Cause: the time for that way was shorter than it.
- * The target is told to stop early enough as well.
+ * Guards against callers that get no reply at all: a target hangs, and the VM
+ * gives up so few milliseconds before the caller that its reply is still in
+ * transit. The target's own deadline must be early enough as well.
  */
-TEST_F(Entry, AnAnswerOfItsOwnLeavesTimeForItsWay)
+TEST_F(Entry, ALocalReplyLeavesTimeForTransit)
 {
 	start_ready();
-	ask("GET /read/a");
+	send_request("GET /read/a");
 	ASSERT_EQ(target.seen().size(), 1u);
 	EXPECT_LE(std::stoi(header(target.seen()[0], "X-Deadline-Ms")), 2400);
 	EXPECT_GT(std::stoi(header(target.seen()[0], "X-Deadline-Ms")), 0);
@@ -367,71 +372,78 @@
 {
 	start_ready();
 	for (int i = 0; i < 4; i++)
-		EXPECT_EQ(status_of(ask("GET /read/x")), 200);
+		EXPECT_EQ(status_of(send_request("GET /read/x")), 200);
 	EXPECT_EQ(target.seen().size(), 4u);
 	EXPECT_EQ(target.connections(), 1u);
 }
 
-/* A kept connection may be dead, and then nobody knows what became of it. */
-TEST_F(Entry, WhatMustRunOnceNeverGoesOnAKeptConnection)
+/*
+ * An idle connection may be dead, and then it is unknown whether the request
+ * ran.
+ */
+TEST_F(Entry, AnOrderNeverReusesAConnection)
 {
 	start_ready();
-	EXPECT_EQ(status_of(ask("GET /read/x")), 200);
+	EXPECT_EQ(status_of(send_request("GET /read/x")), 200);
 	for (int i = 0; i < 3; i++)
-		EXPECT_EQ(status_of(ask("POST /order/x", "", "body")), 200);
+		EXPECT_EQ(status_of(send_request("POST /order/x", "", "body")),
+			  200);
 	EXPECT_EQ(target.connections(), 4u);
 	EXPECT_EQ(header(target.seen().back(), "Connection"), "close");
 }
 
 /*
- * Symptom: reads fail that no target refused. Sequence: a target drops a
- * connection that rests, without a word; the next read is sent on it. Cause:
- * the end of a kept connection was taken for the answer to the read.
+ * Guards against reads that fail because a target closes an idle connection
+ * without notice and the next read is sent on it. The close was taken for the
+ * answer to the read.
  */
-TEST_F(Entry, AKeptConnectionThatIsDeadCostsNoRequest)
+TEST_F(Entry, ADeadIdleConnectionFailsNoRequest)
 {
 	std::atomic<int> n{ 0 };
-	auto answers = at_target;
+	auto answers = target_handler;
 
-	at_target = [&](const std::string &r) {
+	target_handler = [&](const std::string &r) {
 		return ++n == 2 ? "" : answers(r);
 	};
 	start_ready();
-	EXPECT_EQ(status_of(ask("GET /read/x")), 200);
-	EXPECT_EQ(status_of(ask("GET /read/x")), 200);
+	EXPECT_EQ(status_of(send_request("GET /read/x")), 200);
+	EXPECT_EQ(status_of(send_request("GET /read/x")), 200);
 	EXPECT_EQ(n, 3);
 	EXPECT_EQ(target.connections(), 2u);
 }
 
 /*
- * Symptom: targets get more repeats than operators allow, 198 to 211 where 196
- * to 202 are. Sequence: targets that leave close kept connections under what is
- * sent on them, and take new ones. Cause: what was sent again on a new
- * connection was not counted. Evidence: 599 arrivals for 300 reads here, of
- * which the VM counts none as a repeat.
+ * Guards against more repeats than operators allow: targets got 198 to 211
+ * repeats where 196 to 202 were allowed. Targets that leave close idle
+ * connections under the requests sent on them and accept new ones, and what was
+ * sent again on a new connection was not counted. With that fault, 599 requests
+ * arrive here for 300 reads, and the VM counts none as a repeat.
  */
-TEST_F(Entry, WhatIsSentAgainOnANewConnectionIsARepeat)
+TEST_F(Entry, AResendOnANewConnectionCountsAsARepeat)
 {
 	const unsigned asked = 300;
-	/* A repeat_ratio of 0.2 and a repeat_slack of 50. */
+	/* repeat_ratio is 0.2 and repeat_slack is 50. */
 	const unsigned allowed = asked / 5 + 50;
 	std::atomic<unsigned> connection{ 0 };
-	auto answers = at_target;
+	auto answers = target_handler;
 
-	at_target = [&](const std::string &r) {
-		/* One in two: the answer that keeps it, and its end. */
+	target_handler = [&](const std::string &r) {
+		/*
+		 * Every second request is answered, which keeps the connection,
+		 * and the next one ends it.
+		 */
 		return ++connection % 2 ? answers(r) : "";
 	};
 	start_ready();
 	for (unsigned i = 0; i < asked; i++)
-		ask("GET /read/x");
+		send_request("GET /read/x");
 	EXPECT_LE(target.seen().size(), asked + allowed);
 }
 
-/* Bytes after an answer belong to no request: the connection is not kept. */
-TEST_F(Entry, AConnectionWithBytesTooManyIsNotKept)
+/* Bytes after a response belong to no request: the connection is not reused. */
+TEST_F(Entry, AConnectionWithSurplusBytesIsNotReused)
 {
-	at_target = [](const std::string &r) {
+	target_handler = [](const std::string &r) {
 		return http(200,
 			    "X-Request-Id: " + header(r, "X-Request-Id") +
 				    "\r\nX-Server-Stamp: s.1\r\n",
@@ -439,49 +451,49 @@
 		       "HTTP/1.1 200 X\r\n";
 	};
 	start_ready();
-	EXPECT_EQ(status_of(ask("GET /read/x")), 200);
-	EXPECT_EQ(status_of(ask("GET /read/x")), 200);
+	EXPECT_EQ(status_of(send_request("GET /read/x")), 200);
+	EXPECT_EQ(status_of(send_request("GET /read/x")), 200);
 	EXPECT_EQ(target.connections(), 2u);
 }
 
-TEST_F(Entry, ARefusalWithoutProofIsNoPromise)
+TEST_F(Entry, AnUnprovenRefusalIsNoPromise)
 {
-	at_target = [](const std::string &) { return http(503, "", ""); };
+	target_handler = [](const std::string &) { return http(503, "", ""); };
 	start_ready();
-	EXPECT_EQ(status_of(ask("POST /order/1", "", "body")), 502);
+	EXPECT_EQ(status_of(send_request("POST /order/1", "", "body")), 502);
 }
 
-TEST_F(Entry, AProvenRefusalTellsWhenToComeBack)
+TEST_F(Entry, AProvenRefusalCarriesRetryAfter)
 {
-	at_target = [](const std::string &) {
+	target_handler = [](const std::string &) {
 		return http(503, "X-Not-Executed: 1\r\n", "");
 	};
 	start_ready();
-	std::string answer = ask("POST /order/1", "", "body");
+	std::string answer = send_request("POST /order/1", "", "body");
 
 	EXPECT_EQ(status_of(answer), 503);
 	EXPECT_GT(std::stod(header(answer, "Retry-After")), 0);
 }
 
-TEST_F(Entry, ACutAnswerIsNoSuccess)
+TEST_F(Entry, ATruncatedResponseIsNoSuccess)
 {
-	at_target = [](const std::string &) {
+	target_handler = [](const std::string &) {
 		return std::string("HTTP/1.1 200 OK\r\nX-Server-Stamp: s\r\n"
 				   "Connection: close\r\nContent-Length: 90"
 				   "\r\n\r\nhalf");
 	};
 	start_ready();
-	EXPECT_EQ(status_of(ask("POST /order/1", "", "body")), 502);
+	EXPECT_EQ(status_of(send_request("POST /order/1", "", "body")), 502);
 }
 
 /*
- * Symptom: a caller gets another's answer. Sequence: a target sends an answer
- * of an earlier request before this one's. Cause: the first answer on a
- * connection was taken for that of the request; its id was not looked at.
+ * Guards against a caller that gets another one's response: a target sends the
+ * response to an earlier request first, and the first response on a connection
+ * was used without a look at its request id.
  */
-TEST_F(Entry, AnAnswerToAnotherRequestIsPutAway)
+TEST_F(Entry, AResponseToAnotherRequestIsDiscarded)
 {
-	at_target = [](const std::string &request) {
+	target_handler = [](const std::string &request) {
 		return http(200, "X-Request-Id: other\r\nX-Server-Stamp: x\r\n",
 			    "not yours") +
 		       http(200,
@@ -490,7 +502,7 @@
 			    "yours");
 	};
 	start_ready();
-	std::string answer = ask("POST /order/1", "", "body");
+	std::string answer = send_request("POST /order/1", "", "body");
 
 	EXPECT_EQ(status_of(answer), 200);
 	EXPECT_EQ(answer.substr(answer.size() - 5), "yours");
@@ -499,21 +511,23 @@
 TEST_F(Entry, LimitsOfTheConfigurationHold)
 {
 	start_ready();
-	EXPECT_EQ(status_of(ask("POST /order/1", "", std::string(1001, 'x'))),
+	EXPECT_EQ(status_of(send_request("POST /order/1", "",
+					 std::string(1001, 'x'))),
 		  413);
-	EXPECT_EQ(status_of(ask("GET /read/",
-				"Big: " + std::string(5000, 'x') + "\r\n")),
+	EXPECT_EQ(status_of(send_request("GET /read/",
+					 "Big: " + std::string(5000, 'x') +
+						 "\r\n")),
 		  431);
 	EXPECT_EQ(target.seen().size(), 0u);
 }
 
 /*
- * Symptom: a VM runs out of descriptors while hardly any request is under way.
- * Sequence: callers open connections and send their heads byte by byte, or
- * nothing at all. Cause: the connection's timer was set for the idle timeout
- * when it opened and left so when a head began, whose own limit is shorter.
+ * Guards against running out of descriptors by callers that open connections
+ * and send their request heads byte by byte, or nothing at all. The timer was
+ * set for the idle timeout when a connection opened, and was not moved when a
+ * head began, whose own timeout is shorter.
  */
-TEST_F(Entry, AHeadThatComesTooSlowlyIsAnsweredAndClosed)
+TEST_F(Entry, ASlowRequestHeadGets408)
 {
 	header_timeout = "300ms";
 	idle_timeout = "600s";
@@ -525,8 +539,8 @@
 	timeval often = { 0, 50000 };
 	setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &often, sizeof(often));
 	ASSERT_GT(send(fd, "GET /read/", 10, MSG_NOSIGNAL), 0);
-	/* Each byte is a sign of life; the head as a whole is too slow. */
-	EXPECT_TRUE(becomes([&] {
+	/* Each byte is activity, but the head as a whole is too slow. */
+	EXPECT_TRUE(eventually([&] {
 		char buf[256];
 		ssize_t n;
 
@@ -542,7 +556,7 @@
 	EXPECT_EQ(target.seen().size(), 0u);
 }
 
-TEST_F(Entry, AnIdleConnectionIsClosedWithoutAWord)
+TEST_F(Entry, AnIdleConnectionIsClosedWithoutAReply)
 {
 	idle_timeout = "300ms";
 	start_ready();
@@ -564,98 +578,96 @@
 	close(used);
 }
 
-/* A configuration that cannot be read stays out, and a line says why. */
-TEST_F(Entry, ACutConfigurationChangesNothing)
+/* A configuration that cannot be read is ignored, and a log line says why. */
+TEST_F(Entry, ATruncatedConfigurationChangesNothing)
 {
 	std::string lines;
 
 	start_ready();
-	config_cut = true;
+	truncate_config = true;
 	version = 2;
-	ASSERT_TRUE(becomes([&] {
+	ASSERT_TRUE(eventually([&] {
 		lines += log();
 		return lines.find("event=routes-refused") != std::string::npos;
 	}));
 	EXPECT_NE(lines.find("key=op/config revision=12"), std::string::npos);
-	EXPECT_EQ(status_of(ask("GET /read/a")), 200);
+	EXPECT_EQ(status_of(send_request("GET /read/a")), 200);
 }
 
 /*
- * Symptom: the VM stops serving while its log is not read. Cause: a write to a
- * full pipe waits for the reader. Here nobody reads, and far more than a pipe
- * holds is logged.
+ * Guards against a VM that stops serving because its log is not read: a write
+ * to a full pipe blocks. Here nobody reads, and far more is logged than a pipe
+ * holds.
  */
-TEST_F(Entry, ALogThatNobodyReadsStopsNothing)
+TEST_F(Entry, AnUnreadLogBlocksNothing)
 {
 	start_ready();
 	for (int i = 0; i < 1200; i++)
-		ASSERT_EQ(status_of(ask("GET /read/a")), 200) << i;
+		ASSERT_EQ(status_of(send_request("GET /read/a")), 200) << i;
 }
 
-TEST_F(Entry, ATermEndsTheProcessAfterItsWork)
+TEST_F(Entry, SigtermEndsTheProcessAfterItsRequests)
 {
 	int status = -1;
 
 	start_ready();
 	kill(pid, SIGTERM);
-	ASSERT_TRUE(becomes([this] { return readiness() != 200; }));
-	ASSERT_TRUE(
-		becomes([&] { return waitpid(pid, &status, WNOHANG) == pid; }));
+	ASSERT_TRUE(eventually([this] { return readiness() != 200; }));
+	ASSERT_TRUE(eventually(
+		[&] { return waitpid(pid, &status, WNOHANG) == pid; }));
 	pid = -1;
 	EXPECT_TRUE(WIFEXITED(status));
 	EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
 /*
- * Symptom: a caller's connection is closed without an answer while a VM is
- * stopped as planned. Sequence: an order is sent to a target that hangs, and
- * could wait there for longer than the VM may still run; the VM's time is over.
- * Cause: what still ran was freed with its connection. Evidence: the caller
- * gets no byte before the end of its connection, and the VM logs no line of the
- * order.
+ * Guards against a connection that is closed without a reply during a planned
+ * stop: an order waits at a target that hangs for longer than the VM may still
+ * run. Unfinished requests were freed with their connections, so that the
+ * caller got no byte and the VM logged no line.
  */
-TEST_F(Entry, WhatIsLeftWhenItsTimeIsOverIsAnswered)
+TEST_F(Entry, UnfinishedRequestsGetAReplyAtShutdown)
 {
-	/* The target may look at it when this test is over. */
+	/* The target may read it after this test has ended. */
 	auto over = std::make_shared<std::atomic<bool>>(false);
 	std::string answer;
 
-	at_target = [over](const std::string &) {
+	target_handler = [over](const std::string &) {
 		while (!*over)
 			usleep(1000);
 		return std::string();
 	};
 	start_ready();
 	std::thread caller([&] {
-		answer = http_ask(front,
-				  "POST /order/1 HTTP/1.1\r\nHost: h.x\r\n"
-				  "X-Request-Id: id-9\r\nX-Deadline-Ms: 90000"
-				  "\r\nContent-Length: 4\r\n\r\nbody");
+		answer = http_request(
+			front, "POST /order/1 HTTP/1.1\r\nHost: h.x\r\n"
+			       "X-Request-Id: id-9\r\nX-Deadline-Ms: 90000"
+			       "\r\nContent-Length: 4\r\n\r\nbody");
 	});
-	ASSERT_TRUE(becomes([this] { return target.seen().size() == 1; }));
+	ASSERT_TRUE(eventually([this] { return target.seen().size() == 1; }));
 	kill(pid, SIGTERM);
 	caller.join();
 	*over = true;
 	EXPECT_EQ(status_of(answer), 504) << answer;
 }
 
-TEST_F(Entry, AHangupReloadsAndAWrongFileChangesNothing)
+TEST_F(Entry, SighupReloadsAndAnInvalidFileChangesNothing)
 {
 	std::string lines;
 
 	start_ready();
 	kill(pid, SIGHUP);
-	ASSERT_TRUE(becomes([&] {
+	ASSERT_TRUE(eventually([&] {
 		lines += log();
 		return lines.find("event=reload ") != std::string::npos;
 	}));
 	std::ofstream(path, std::ios::app) << "colour: blue\n";
-	ASSERT_TRUE(becomes([&] {
+	ASSERT_TRUE(eventually([&] {
 		lines += log();
 		return lines.find("event=reload-refused") != std::string::npos;
 	}));
 	EXPECT_NE(lines.find("colour"), std::string::npos);
-	EXPECT_EQ(status_of(ask("GET /read/a")), 200);
+	EXPECT_EQ(status_of(send_request("GET /read/a")), 200);
 }
 
 struct Keys : Entry {
@@ -665,7 +677,7 @@
 	{
 		organisations = R"(["coop",["key-one","key-two"],0,0],)"
 				R"(["small",["key-s"],1,1])";
-		at_target = [this](const std::string &r) {
+		target_handler = [this](const std::string &r) {
 			seen = r;
 			return http(
 				200,
@@ -675,55 +687,57 @@
 		};
 	}
 
-	int ask_with(const std::string &headers,
-		     const std::string &line = "GET /read/x")
+	int status_with(const std::string &headers,
+			const std::string &line = "GET /read/x")
 	{
-		return status_of(ask(line, headers));
+		return status_of(send_request(line, headers));
 	}
 };
 
 TEST_F(Keys, TheTargetGetsTheOrganisationAndNotTheKey)
 {
 	start_ready();
-	EXPECT_EQ(ask_with("api-KEY: key-two\r\nX-tenant: forged\r\n"), 200);
+	EXPECT_EQ(status_with("api-KEY: key-two\r\nX-tenant: forged\r\n"), 200);
 	EXPECT_EQ(seen.find("key-two"), std::string::npos);
 	EXPECT_EQ(seen.find("forged"), std::string::npos);
 	EXPECT_EQ(header(seen, "X-Tenant"), "coop");
 	EXPECT_EQ(log().find("key-two"), std::string::npos);
 }
 
-TEST_F(Keys, WithoutAGoodKeyNothingRuns)
+TEST_F(Keys, WithoutAValidKeyNothingRuns)
 {
 	start_ready();
-	EXPECT_EQ(ask_with(""), 401);
-	EXPECT_EQ(ask_with("Api-Key: \r\n"), 401);
-	EXPECT_EQ(ask_with("Api-Key: key-on\r\n"), 401);
-	EXPECT_EQ(ask_with("Api-Key: KEY-ONE\r\n"), 401);
-	EXPECT_EQ(ask_with("Api-Key: " + std::string(3000, 'k') + "\r\n"), 401);
-	EXPECT_EQ(ask_with("Api-Key: " + std::string(60000, 'k') + "\r\n"),
+	EXPECT_EQ(status_with(""), 401);
+	EXPECT_EQ(status_with("Api-Key: \r\n"), 401);
+	EXPECT_EQ(status_with("Api-Key: key-on\r\n"), 401);
+	EXPECT_EQ(status_with("Api-Key: KEY-ONE\r\n"), 401);
+	EXPECT_EQ(status_with("Api-Key: " + std::string(3000, 'k') + "\r\n"),
+		  401);
+	EXPECT_EQ(status_with("Api-Key: " + std::string(60000, 'k') + "\r\n"),
 		  431);
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\nApi-Key: key-one\r\n"), 400);
+	EXPECT_EQ(status_with("Api-Key: key-one\r\nApi-Key: key-one\r\n"), 400);
 	EXPECT_EQ(seen, "");
 }
 
-TEST_F(Keys, AnOpenRouteNeedsNone)
+TEST_F(Keys, AnOpenRouteNeedsNoKey)
 {
 	start_ready();
-	EXPECT_EQ(ask_with("X-Tenant: forged\r\n", "GET /open/x"), 200);
+	EXPECT_EQ(status_with("X-Tenant: forged\r\n", "GET /open/x"), 200);
 	EXPECT_EQ(header(seen, "X-Tenant"), "");
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\n", "GET /open/x"), 200);
+	EXPECT_EQ(status_with("Api-Key: key-one\r\n", "GET /open/x"), 200);
 	EXPECT_EQ(header(seen, "X-Tenant"), "coop");
 	EXPECT_EQ(seen.find("key-one"), std::string::npos);
 }
 
-/* What lies beyond a limit is refused at once, and told when to come back. */
-TEST_F(Keys, WhatLiesBeyondTheLimitIsRefused)
+/* Requests beyond a limit are refused at once, with Retry-After. */
+TEST_F(Keys, RequestsBeyondTheLimitAreRefused)
 {
 	unsigned served = 0, refused = 0;
 
 	start_ready();
 	for (int i = 0; i < 60; i++) {
-		std::string answer = ask("GET /read/x", "Api-Key: key-s\r\n");
+		std::string answer =
+			send_request("GET /read/x", "Api-Key: key-s\r\n");
 
 		served += status_of(answer) == 200;
 		refused += status_of(answer) == 429 &&
@@ -731,68 +745,70 @@
 	}
 	EXPECT_EQ(served + refused, 60u);
 	EXPECT_GT(refused, 30u);
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\n"), 200);
+	EXPECT_EQ(status_with("Api-Key: key-one\r\n"), 200);
 }
 
-TEST_F(Keys, AKeyThatWasTakenAwayIsRefused)
+TEST_F(Keys, ARevokedKeyIsRefused)
 {
 	start_ready();
-	EXPECT_EQ(ask_with("Api-Key: key-two\r\n"), 200);
+	EXPECT_EQ(status_with("Api-Key: key-two\r\n"), 200);
 	organisations = R"(["coop",["key-one"],0,0])";
 	version++;
-	EXPECT_TRUE(becomes(
-		[this] { return ask_with("Api-Key: key-two\r\n") == 401; }));
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\n"), 200);
+	EXPECT_TRUE(eventually(
+		[this] { return status_with("Api-Key: key-two\r\n") == 401; }));
+	EXPECT_EQ(status_with("Api-Key: key-one\r\n"), 200);
 }
 
 /*
- * Symptom: a VM serves under keys that were taken away. Sequence: the store is
- * away for longer than the bound. Cause: nothing told the VM that its
- * configuration had grown old.
+ * Guards against a VM that accepts revoked keys while the store has been
+ * unreachable for longer than the bound: nothing told it that its configuration
+ * was out of date.
  */
-TEST_F(Keys, AVmThatCannotProveItsConfigurationSaysSo)
+TEST_F(Keys, AVmWithoutAProofRefusesKeysAndIsNotReady)
 {
 	fail_closed = true;
 	proof = "1s";
 	start_ready();
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\n"), 200);
-	store_away = true;
-	EXPECT_TRUE(becomes(
-		[this] { return ask_with("Api-Key: key-one\r\n") == 503; }));
-	EXPECT_EQ(ask_with("", "GET /open/x"), 200);
-	EXPECT_TRUE(becomes([this] { return readiness() == 503; }));
-	store_away = false;
-	EXPECT_TRUE(becomes(
-		[this] { return ask_with("Api-Key: key-one\r\n") == 200; }));
+	EXPECT_EQ(status_with("Api-Key: key-one\r\n"), 200);
+	store_down = true;
+	EXPECT_TRUE(eventually(
+		[this] { return status_with("Api-Key: key-one\r\n") == 503; }));
+	EXPECT_EQ(status_with("", "GET /open/x"), 200);
+	EXPECT_TRUE(eventually([this] { return readiness() == 503; }));
+	store_down = false;
+	EXPECT_TRUE(eventually(
+		[this] { return status_with("Api-Key: key-one\r\n") == 200; }));
 }
 
-TEST_F(Keys, WhereNoProofIsAskedForItServesOn)
+TEST_F(Keys, WithoutFailClosedItServesOn)
 {
 	proof = "1s";
 	start_ready();
-	store_away = true;
+	store_down = true;
 	std::this_thread::sleep_for(std::chrono::milliseconds(1500));
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\n"), 200);
+	EXPECT_EQ(status_with("Api-Key: key-one\r\n"), 200);
 }
 
-/* Symptom: a VM that was paused serves under a key that is gone. Sequence: it
- * stands still past the end of its proof; a request lies in its socket when it
- * wakes. Cause: the proof's age did not count the pause. */
-TEST_F(Keys, APauseUsesUpTheProof)
+/*
+ * Guards against a VM that accepts a revoked key after a pause: the process is
+ * stopped past the end of its proof, and a request waits in its socket when it
+ * resumes. The pause was not counted in the age of the proof.
+ */
+TEST_F(Keys, APauseCountsTowardTheAgeOfTheProof)
 {
 	fail_closed = true;
 	proof = "1s";
 	start_ready();
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\n"), 200);
-	store_away = true;
+	EXPECT_EQ(status_with("Api-Key: key-one\r\n"), 200);
+	store_down = true;
 	kill(pid, SIGSTOP);
 	std::this_thread::sleep_for(std::chrono::milliseconds(1200));
 	kill(pid, SIGCONT);
-	EXPECT_EQ(ask_with("Api-Key: key-one\r\n", "GET /read/y"), 503);
+	EXPECT_EQ(status_with("Api-Key: key-one\r\n", "GET /read/y"), 503);
 	EXPECT_EQ(seen.find("/read/y"), std::string::npos);
 }
 
-TEST_F(Entry, AWindowThatNoFleetCouldKeepIsRefused)
+TEST_F(Entry, ATooShortLimitWindowIsRejected)
 {
 	std::string text;
 	std::ifstream in;
--- a/tests/http_fake.h
+++ b/tests/http_fake.h
@@ -13,7 +13,10 @@
 #include <unistd.h>
 #include <vector>
 
-/* Read until the head and the body by its length are there; "" at the end. */
+/*
+ * Reads one message, as long as its Content-Length says. Returns what came if
+ * the peer closes before its end.
+ */
 inline std::string http_read(int fd)
 {
 	std::string text;
@@ -39,6 +42,10 @@
 	}
 }
 
+/*
+ * Connects to a port on loopback, with a receive timeout of 10 s. Returns -1 on
+ * error.
+ */
 inline int http_connect(uint16_t port)
 {
 	sockaddr_in addr{};
@@ -55,8 +62,8 @@
 	return -1;
 }
 
-/* One request on a connection of its own; "" when nothing answers. */
-inline std::string http_ask(uint16_t port, const std::string &request)
+/* Sends one request on a connection of its own. Returns the response, or "". */
+inline std::string http_request(uint16_t port, const std::string &request)
 {
 	int fd = http_connect(port);
 	std::string answer;
@@ -69,7 +76,10 @@
 	return answer;
 }
 
-/* A server on loopback whose answers a test writes; "" closes without one. */
+/*
+ * A server on loopback whose responses come from a handler of the test. An
+ * empty response closes the connection.
+ */
 class HttpFake
 {
       public:
@@ -105,6 +115,7 @@
 			t.join();
 	}
 
+	/* The requests received so far. */
 	std::vector<std::string> seen()
 	{
 		std::lock_guard<std::mutex> lock(mutex);
@@ -112,12 +123,12 @@
 		return requests;
 	}
 
-	/* Connections that were ever taken. */
+	/* How many connections were ever accepted. */
 	size_t connections()
 	{
 		std::lock_guard<std::mutex> lock(mutex);
 
-		return taken;
+		return accepted;
 	}
 
 	uint16_t port = 0;
@@ -132,7 +143,7 @@
 				return;
 			std::lock_guard<std::mutex> lock(mutex);
 			open.push_back(fd);
-			taken++;
+			accepted++;
 			threads.emplace_back([this, fd] { serve(fd); });
 		}
 	}
@@ -173,7 +184,7 @@
 	std::mutex mutex;
 	std::vector<std::string> requests;
 	std::vector<int> open;
-	size_t taken = 0;
+	size_t accepted = 0;
 	std::vector<std::thread> threads;
 	std::thread acceptor;
 };
