--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -22,8 +22,8 @@
 }
 
 /*
- * Returns the share of the fleet that this VM has heard lately, by which the
- * limits of targets are scaled.
+ * Returns the share of the fleet that this VM has heard lately, on which the
+ * limits of targets depend; 1 while no target has a limit.
  */
 double exchange_heard_share(const struct exchange *x)
 {
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -209,10 +209,7 @@
 	u->done(u->ctx, u, how);
 }
 
-/*
- * Returns the outcome by the response. One without the target's stamp does not
- * come from the target.
- */
+/* Returns the outcome by the response. One without a stamp counts as broken. */
 static enum upstream_end classify_response(struct upstream *u)
 {
 	const struct dialect *d = u->e->dialect;
