--- a/entry/entry.h
+++ b/entry/entry.h
@@ -78,11 +78,12 @@
 	struct tr_proof proof;
 	struct tr_fatals fatals;
 	struct kept kept;
-	uint64_t refused_revision;
-	double split_position; /* quasi-random draw of the traffic split */
-	bool leaving;
-	bool ready;
-	apr_time_t stepped_at;
+	uint64_t refused_revision; /* of the last configuration that was invalid
+				    */
+	double split_position;	   /* quasi-random draw of the traffic split */
+	bool leaving;		   /* since the stop signal */
+	bool ready;		   /* since the routes and the list are here */
+	apr_time_t stepped_at;	   /* last step of the event loop */
 	apr_time_t idle_checked_at;
 	apr_time_t floors_logged_at;
 	apr_time_t repeats_logged_at;
@@ -95,16 +96,16 @@
 	GPtrArray *held_callers; /* callers whose requests are held */
 	struct mesh *mesh;
 	struct reader *reader;
-	struct listener front;
-	struct listener directory;
-	struct listener readiness;
+	struct listener front;	   /* requests of callers */
+	struct listener directory; /* lookups of entry VMs */
+	struct listener readiness; /* health checks of the platform */
 	struct listener metrics;
 	struct exchange *exchanges;
 	unsigned exchanges_count;
 	struct entry_counts counts;
 	struct tr_pacer refusal_log_limiter;
 	struct tr_pacer notice_log_limiter;
-	GArray *times;
+	GArray *times; /* latency histograms, see times.h */
 };
 
 static inline apr_time_t entry_now(const struct entry *e)
--- a/entry/upstream.h
+++ b/entry/upstream.h
@@ -29,7 +29,7 @@
 	bool misdirected; /* status 421: the address is another target's */
 	bool notice_read; /* the target's report about itself was processed */
 	uint32_t row;	  /* index in the roster */
-	uint32_t hash;	  /* tells a later target in the same row */
+	uint32_t hash;	  /* distinguishes later targets in the same row */
 	struct stream stream;
 	struct message response;
 	apr_time_t started_at;
