--- a/entry/entry.h
+++ b/entry/entry.h
@@ -78,8 +78,7 @@
 	struct tr_proof proof;
 	struct tr_fatals fatals;
 	struct kept kept;
-	uint64_t refused_revision; /* of the last configuration that was invalid
-				    */
+	uint64_t refused_revision; /* of the last invalid configuration */
 	double split_position;	   /* quasi-random draw of the traffic split */
 	bool leaving;		   /* since the stop signal */
 	bool ready;		   /* since the routes and the list are here */
