--- a/src/attempt.c
+++ b/src/attempt.c
@@ -258,7 +258,7 @@
 	struct attempt *a = &r->attempt;
 
 	if (a->easy)
-		client_drop(r->proxy->client, a->easy);
+		client_easy_release(r->proxy->client, a->easy);
 	curl_slist_free_all(a->headers);
 	a->easy = NULL;
 	a->headers = NULL;
@@ -386,7 +386,7 @@
 	request_reply_clear(&r->reply);
 	a->began = now;
 	a->load = -1;
-	a->easy = client_easy(r->proxy->client, done, r);
+	a->easy = client_easy_new(r->proxy->client, done, r);
 	if (!a->easy || asprintf(&url, "http://%s%s", authority, r->path) < 0)
 		return -1;
 	curl_easy_setopt(a->easy, CURLOPT_URL, url);
@@ -407,7 +407,7 @@
 	set_headers(r, left);
 	r->attempt_running = true;
 	r->attempts++;
-	return client_start(r->proxy->client, a->easy);
+	return client_easy_start(r->proxy->client, a->easy);
 }
 
 /* Send the request to the target. -1 when it could not be started at all. */
--- a/src/client.c
+++ b/src/client.c
@@ -169,7 +169,7 @@
  * Expect, no proxy, no signals. fn is called once if it is started and ends
  * by itself.
  */
-CURL *client_easy(struct client *client, client_done_fn fn, void *owner)
+CURL *client_easy_new(struct client *client, client_done_fn fn, void *owner)
 {
 	CURL *easy = client->pooled ? client->pool[--client->pooled]
 				    : curl_easy_init();
@@ -196,7 +196,7 @@
 	return easy;
 }
 
-int client_start(struct client *client, CURL *easy)
+int client_easy_start(struct client *client, CURL *easy)
 {
 	owner_of(easy)->running = true;
 	if (curl_multi_add_handle(client->multi, easy) == CURLM_OK)
@@ -209,7 +209,7 @@
  * Give a handle back. One that is still running is ended, and its connection
  * closed: an answer that comes late then meets nobody.
  */
-void client_drop(struct client *client, CURL *easy)
+void client_easy_release(struct client *client, CURL *easy)
 {
 	struct easy_owner *own = owner_of(easy);
 
@@ -224,7 +224,7 @@
 
 static void fetch_free(struct fetch *fetch)
 {
-	client_drop(fetch->client, fetch->easy);
+	client_easy_release(fetch->client, fetch->easy);
 	curl_slist_free_all(fetch->headers);
 	free(fetch->body);
 	free(fetch);
@@ -266,7 +266,7 @@
 static void fetch_done(void *owner, CURLcode code)
 {
 	struct fetch *fetch = owner;
-	struct fetch_answer answer = {
+	struct fetch_response answer = {
 		.curl = code,
 		.body = fetch->body ? fetch->body : "",
 		.len = fetch->len,
@@ -296,7 +296,7 @@
 	fetch->client = client;
 	fetch->fn = fn;
 	fetch->ctx = ctx;
-	fetch->easy = client_easy(client, fetch_done, fetch);
+	fetch->easy = client_easy_new(client, fetch_done, fetch);
 	curl_easy_setopt(fetch->easy, CURLOPT_URL, url);
 	curl_easy_setopt(fetch->easy, CURLOPT_TIMEOUT_MS,
 			 (long)(timeout / 1000));
@@ -310,7 +310,7 @@
 				 fetch->headers);
 		curl_easy_setopt(fetch->easy, CURLOPT_COPYPOSTFIELDS, post);
 	}
-	if (client_start(client, fetch->easy)) {
+	if (client_easy_start(client, fetch->easy)) {
 		fetch_free(fetch);
 		return NULL;
 	}
--- a/src/client.h
+++ b/src/client.h
@@ -12,7 +12,7 @@
 struct fetch;
 
 /* The answer to a fetch. status 0: none, and curl says why. */
-struct fetch_answer {
+struct fetch_response {
 	long status;
 	CURLcode curl;
 	const char *body;
@@ -21,7 +21,7 @@
 	const char *mac;
 };
 
-typedef void (*fetch_fn)(void *ctx, const struct fetch_answer *answer);
+typedef void (*fetch_fn)(void *ctx, const struct fetch_response *answer);
 typedef void (*client_done_fn)(void *owner, CURLcode code);
 
 struct client *client_new(struct loop *loop, const char *source_ip);
@@ -30,8 +30,8 @@
 			   const char *post, apr_time_t timeout, fetch_fn fn,
 			   void *ctx);
 void client_fetch_cancel(struct client *client, struct fetch *fetch);
-CURL *client_easy(struct client *client, client_done_fn fn, void *owner);
-int client_start(struct client *client, CURL *easy);
-void client_drop(struct client *client, CURL *easy);
+CURL *client_easy_new(struct client *client, client_done_fn fn, void *owner);
+int client_easy_start(struct client *client, CURL *easy);
+void client_easy_release(struct client *client, CURL *easy);
 
 #endif
--- a/src/cmd_lookup.c
+++ b/src/cmd_lookup.c
@@ -32,7 +32,7 @@
 	if (!command_parse(argc, argv, table, "lookup", &code))
 		goto done;
 	code = EXIT_USAGE;
-	if (standin_begin(&s, "lookup"))
+	if (standin_init(&s, "lookup"))
 		goto done;
 	client = client_new(s.loop, NULL);
 	snprintf(url, sizeof(url), "http://%s/v1/lookup?service=%s&keys=%d%s%s",
@@ -51,7 +51,7 @@
 		code = EXIT_FOUND_FAULT;
 	}
 	client_destroy(client);
-	standin_end(&s);
+	standin_destroy(&s);
 done:
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/cmd_status.c
+++ b/src/cmd_status.c
@@ -235,7 +235,7 @@
 	if (!command_parse(argc, argv, table, "status", &code))
 		goto done;
 	code = EXIT_USAGE;
-	if (standin_begin(&s, "status"))
+	if (standin_init(&s, "status"))
 		goto done;
 	client = client_new(s.loop, NULL);
 	do {
@@ -249,7 +249,7 @@
 		}
 	} while (watch->count && !s.stopped);
 	client_destroy(client);
-	standin_end(&s);
+	standin_destroy(&s);
 done:
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/cmd_timeline.c
+++ b/src/cmd_timeline.c
@@ -173,7 +173,7 @@
 	if (!command_parse(argc, argv, table, "timeline", &code))
 		goto done;
 	code = EXIT_USAGE;
-	if (standin_begin(&s, "timeline"))
+	if (standin_init(&s, "timeline"))
 		goto done;
 	client = client_new(s.loop, NULL);
 	f.service = service->count ? service->sval[0] : NULL;
@@ -192,7 +192,7 @@
 		code = EXIT_FOUND_FAULT;
 	}
 	client_destroy(client);
-	standin_end(&s);
+	standin_destroy(&s);
 done:
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/config_read.c
+++ b/src/config_read.c
@@ -99,7 +99,7 @@
 	       tr_random_below(&config->board->random, 500) * (wait / 1000);
 }
 
-static void platform_answered(void *ctx, const struct fetch_answer *answer)
+static void platform_answered(void *ctx, const struct fetch_response *answer)
 {
 	struct reader *reader = ctx;
 	struct config *config = reader->config;
@@ -153,7 +153,7 @@
 }
 
 static int check_mac(const struct config *config,
-		     const struct fetch_answer *answer)
+		     const struct fetch_response *answer)
 {
 	unsigned char mac[TR_MAC_SIZE];
 	size_t len = 0;
@@ -185,7 +185,7 @@
 		config_offer_targets(config, svc, revision, text, len, "peer");
 }
 
-static void pull_answered(void *ctx, const struct fetch_answer *answer)
+static void pull_answered(void *ctx, const struct fetch_response *answer)
 {
 	struct reader *reader = ctx;
 	struct config *config = reader->config;
--- a/src/gather.c
+++ b/src/gather.c
@@ -17,7 +17,7 @@
 	unsigned waiting;
 };
 
-static void answered(void *ctx, const struct fetch_answer *answer)
+static void answered(void *ctx, const struct fetch_response *answer)
 {
 	struct gathering *all = ctx;
 	json_t *root = NULL;
--- a/src/health.c
+++ b/src/health.c
@@ -40,7 +40,7 @@
 	free(probe);
 }
 
-static void probed(void *ctx, const struct fetch_answer *answer)
+static void probed(void *ctx, const struct fetch_response *answer)
 {
 	struct probe *probe = ctx;
 	struct tr_board *board = probe->health->board;
--- a/src/load_caller.c
+++ b/src/load_caller.c
@@ -44,7 +44,7 @@
 	}
 }
 
-static void lookup_answered(void *ctx, const struct fetch_answer *answer)
+static void lookup_answered(void *ctx, const struct fetch_response *answer)
 {
 	struct question *q = ctx;
 	struct load *load = q->load;
@@ -103,7 +103,7 @@
 	return caller->addresses[(caller->preferred + op->tried_addresses) % n];
 }
 
-static void keys_answered(void *ctx, const struct fetch_answer *answer)
+static void keys_answered(void *ctx, const struct fetch_response *answer)
 {
 	struct question *q = ctx;
 	struct caller *caller = q->caller;
--- a/src/standin.c
+++ b/src/standin.c
@@ -20,7 +20,7 @@
 }
 
 /* Set up the loop, the signals and the libraries. 0 or -1. */
-int standin_begin(struct standin *s, const char *name)
+int standin_init(struct standin *s, const char *name)
 {
 	if (sodium_init() < 0 || apr_initialize() != APR_SUCCESS ||
 	    curl_global_init(CURL_GLOBAL_DEFAULT))
@@ -41,7 +41,7 @@
 	loop_run(s->loop);
 }
 
-void standin_end(struct standin *s)
+void standin_destroy(struct standin *s)
 {
 	loop_destroy(s->loop);
 	apr_pool_destroy(s->pool);
--- a/src/standin.h
+++ b/src/standin.h
@@ -17,9 +17,9 @@
 	bool stopped;
 };
 
-int standin_begin(struct standin *s, const char *name);
+int standin_init(struct standin *s, const char *name);
 void standin_run(struct standin *s);
-void standin_end(struct standin *s);
+void standin_destroy(struct standin *s);
 int standin_address(const char *text, char ip[46], uint16_t *port);
 const char *standin_query(struct MHD_Connection *conn, const char *name,
 			  const char *otherwise);
--- a/src/toucanreel_load.c
+++ b/src/toucanreel_load.c
@@ -184,7 +184,7 @@
 	long status = 0;
 
 	curl_easy_getinfo(op->easy, CURLINFO_RESPONSE_CODE, &status);
-	client_drop(load->client, op->easy);
+	client_easy_release(load->client, op->easy);
 	op->easy = NULL;
 	curl_slist_free_all(op->headers);
 	op->headers = NULL;
@@ -251,7 +251,7 @@
 	snprintf(url, sizeof(url), "http://%s%s%s%s", address,
 		 o->direct ? "" : "/s/", o->direct ? "" : o->service,
 		 path_of(load, op));
-	op->easy = client_easy(load->client, done, op);
+	op->easy = client_easy_new(load->client, done, op);
 	set_headers(load, op);
 	curl_easy_setopt(op->easy, CURLOPT_URL, url);
 	curl_easy_setopt(op->easy, CURLOPT_HTTPHEADER, op->headers);
@@ -268,7 +268,7 @@
 		curl_easy_setopt(op->easy, CURLOPT_POSTFIELDSIZE_LARGE,
 				 (curl_off_t)o->body);
 	}
-	if (client_start(load->client, op->easy))
+	if (client_easy_start(load->client, op->easy))
 		abort();
 }
 
@@ -375,7 +375,7 @@
 	case LOAD_GO:
 		break;
 	}
-	if (!standin_begin(&load->standin, "load"))
+	if (!standin_init(&load->standin, "load"))
 		code = run(load);
 	return code;
 }
--- a/src/toucanreel_platform.c
+++ b/src/toucanreel_platform.c
@@ -461,10 +461,10 @@
 		code = 0;
 	} else if (errors) {
 		arg_print_errors(stderr, end, "toucanreel-platform");
-	} else if (!standin_begin(&the_platform.standin, "platform")) {
+	} else if (!standin_init(&the_platform.standin, "platform")) {
 		code = run(&the_platform, listen->sval[0],
 			   values->count ? values->filename[0] : NULL);
-		standin_end(&the_platform.standin);
+		standin_destroy(&the_platform.standin);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/toucanreel_relay.c
+++ b/src/toucanreel_relay.c
@@ -315,9 +315,9 @@
 		code = 0;
 	} else if (errors) {
 		arg_print_errors(stderr, end, "toucanreel-relay");
-	} else if (!standin_begin(&the_relay.standin, "relay")) {
+	} else if (!standin_init(&the_relay.standin, "relay")) {
 		code = run(&the_relay, control->sval[0], routes->filename[0]);
-		standin_end(&the_relay.standin);
+		standin_destroy(&the_relay.standin);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/toucanreel_target.c
+++ b/src/toucanreel_target.c
@@ -576,14 +576,14 @@
 		code = 0;
 	} else if (errors) {
 		arg_print_errors(stderr, end, "toucanreel-target");
-	} else if (!standin_begin(&t->standin, name->sval[0])) {
+	} else if (!standin_init(&t->standin, name->sval[0])) {
 		t->name = name->sval[0];
 		t->slots = slots->count ? (unsigned)slots->ival[0] : 3;
 		t->work_ms = work->count ? work->dval[0] : 10;
 		t->cold = TR_MSEC(cold->count ? cold->ival[0] : 2000);
 		t->random.state = tr_hash_string(t->name);
 		code = run(t, listen->sval[0]);
-		standin_end(&t->standin);
+		standin_destroy(&t->standin);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
