--- a/src/api.c
+++ b/src/api.c
@@ -1,4 +1,4 @@
-/* The system's own calls on the callers' port: /v1/lookup and /v1/keys. */
+/* API on the callers' port: /v1/lookup and /v1/keys. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,12 +9,12 @@
 #include "loop.h"
 #include "proxy.h"
 
-#define API_WAIT       TR_MSEC(1000)
-#define MOST_KEYS      256
-#define MOST_ADDRESSES 4
-#define DEFAULT_KEYS   1
+#define API_DOCUMENT_WAIT    TR_MSEC(1000)
+#define MAX_KEYS	     256
+#define MAX_LOOKUP_ADDRESSES 4
+#define DEFAULT_KEYS	     1
 
-static const char *argument(const struct request *r, const char *name)
+static const char *query_argument(const struct request *r, const char *name)
 {
 	return MHD_lookup_connection_value(r->conn, MHD_GET_ARGUMENT_KIND,
 					   name);
@@ -34,15 +34,15 @@
 	return keys;
 }
 
-static unsigned keys_wanted(const struct request *r, unsigned least)
+static unsigned requested_keys(const struct request *r, unsigned least)
 {
-	const char *text = argument(r, "keys");
+	const char *text = query_argument(r, "keys");
 	unsigned long n = text ? strtoul(text, NULL, 10) : least;
 
-	return n > MOST_KEYS ? MOST_KEYS : (unsigned)n;
+	return n > MAX_KEYS ? MAX_KEYS : (unsigned)n;
 }
 
-static bool is_up(const struct tr_service *svc, uint64_t vm_id)
+static bool is_available(const struct tr_service *svc, uint64_t vm_id)
 {
 	for (unsigned i = 0; i < svc->peers_count; i++) {
 		const struct tr_peer *peer = &svc->peers[i];
@@ -55,9 +55,9 @@
 }
 
 /*
- * The addresses to use, best first. VMs that are silent or say that they are
- * leaving are left out at once, long before the published list drops them;
- * this VM itself when it is stopping.
+ * Addresses of the VMs that serve the service, preferred ones first. VMs that
+ * are down or leaving are omitted at once, long before the published list
+ * drops them; so is this VM while it is leaving.
  */
 static json_t *addresses(const struct request *r, const char *data_centre,
 			 uint64_t salt)
@@ -69,12 +69,12 @@
 
 	n = tr_cell_lookup(&r->svc->cell, &board->fleet, data_centre, salt,
 			   order, TR_MAX_CELL);
-	for (size_t i = 0; i < n && json_array_size(list) < MOST_ADDRESSES;
-	     i++) {
+	for (size_t i = 0;
+	     i < n && json_array_size(list) < MAX_LOOKUP_ADDRESSES; i++) {
 		const struct tr_vm *vm = &board->fleet.vms[order[i]];
-		bool me = vm->id == board->vm_id;
+		bool is_self = vm->id == board->vm_id;
 
-		if (me ? board->leaving : !is_up(r->svc, vm->id))
+		if (is_self ? board->leaving : !is_available(r->svc, vm->id))
 			continue;
 		json_array_append_new(
 			list, json_pack("{s:s, s:i, s:s}", "address",
@@ -84,11 +84,12 @@
 	return list;
 }
 
+/* Salt for the order of addresses, which spreads callers over the VMs. */
 static uint64_t caller_salt(const struct request *r)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		r->conn, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
-	const char *given = argument(r, "caller");
+	const char *given = query_argument(r, "caller");
 
 	if (given)
 		return tr_hash_string(given);
@@ -98,8 +99,8 @@
 static void answer_lookup(struct request *r)
 {
 	const struct tr_board *board = r->proxy->board;
-	const char *centre = argument(r, "data_centre");
-	unsigned n = r->svc->in_cell ? keys_wanted(r, 0) : 0;
+	const char *centre = query_argument(r, "data_centre");
+	unsigned n = r->svc->in_cell ? requested_keys(r, 0) : 0;
 	json_t *body;
 
 	if (!centre)
@@ -111,23 +112,27 @@
 			 "answered_by", board->vm_name, "revision",
 			 (json_int_t)r->svc->document_revision);
 	r->state = REQUEST_DONE;
-	proxy_answer_json(r, TR_OK, 200, body);
+	proxy_reply_json(r, TR_OK, 200, body);
 }
 
 static void answer_keys(struct request *r)
 {
 	json_t *body = json_pack(
 		"{s:s, s:o, s:i}", "service", r->svc->name, "keys",
-		mint_keys(r, keys_wanted(r, DEFAULT_KEYS)), "lifetime_s",
+		mint_keys(r, requested_keys(r, DEFAULT_KEYS)), "lifetime_s",
 		(int)r->proxy->board->dispatcher.lifetime_s);
 
 	r->state = REQUEST_DONE;
-	proxy_answer_json(r, TR_OK, 200, body);
+	proxy_reply_json(r, TR_OK, 200, body);
 }
 
+/*
+ * Looks up the service of the query. False if its document has not arrived
+ * yet; otherwise found, or the reply is ready.
+ */
 static bool find_service(struct request *r, bool *found)
 {
-	const char *name = argument(r, "service");
+	const char *name = query_argument(r, "service");
 	apr_time_t now = tr_clock_now(loop_clock(r->proxy->loop));
 
 	*found = false;
@@ -141,14 +146,15 @@
 		*found = true;
 		return true;
 	}
-	if (r->svc && !r->svc->platform_has_none && now - r->began < API_WAIT)
+	if (r->svc && !r->svc->platform_has_none &&
+	    now - r->began < API_DOCUMENT_WAIT)
 		return false;
 	proxy_finish(r, r->svc && r->svc->platform_has_none ? TR_NO_SERVICE
 							    : TR_NOT_READY);
 	return true;
 }
 
-/* Answer a /v1/ call; false when its service's document must still come. */
+/* Answers a /v1/ call; false if the service's document has not arrived yet. */
 bool api_handle(struct request *r)
 {
 	size_t len = strcspn(r->uri, "?");
--- a/src/arrive.c
+++ b/src/arrive.c
@@ -1,4 +1,4 @@
-/* What is checked of a request before its body is read. */
+/* Checks of a request's headers, before its body is read. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,10 +8,11 @@
 #include "loop.h"
 #include "proxy.h"
 
-#define ARRIVE_WAIT    TR_MSEC(1000)
-#define SERVICE_PATH   "/s/"
-#define LEAST_DEADLINE TR_MSEC(1)
+#define DOCUMENT_WAIT TR_MSEC(1000)
+#define SERVICE_PATH  "/s/"
+#define MIN_DEADLINE  TR_MSEC(1)
 
+/* The headers that determine the length of the body. */
 struct framing {
 	unsigned lengths;
 	unsigned encodings;
@@ -19,8 +20,8 @@
 	int64_t length;
 };
 
-static int look_at_header(void *ctx, enum MHD_ValueKind kind, const char *name,
-			  const char *value)
+static int check_framing_header(void *ctx, enum MHD_ValueKind kind,
+				const char *name, const char *value)
 {
 	struct framing *f = ctx;
 	size_t len = value ? strlen(value) : 0;
@@ -42,16 +43,16 @@
 }
 
 /*
- * Refuse what two readers could take for requests of different length. A
- * request hidden behind another would else run without a route, a key or a
- * place in the ledger.
+ * Rejects ambiguous framing, against request smuggling: a request hidden in
+ * the body of another would run without a route, a key or a ledger entry.
  */
-static bool well_framed(struct request *r)
+static bool check_framing(struct request *r)
 {
 	struct framing f = { 0 };
 
 	MHD_get_connection_values(r->conn, MHD_HEADER_KIND,
-				  (MHD_KeyValueIterator)look_at_header, &f);
+				  (MHD_KeyValueIterator)check_framing_header,
+				  &f);
 	if (f.malformed || f.lengths > 1 || f.encodings > 1 ||
 	    (f.lengths && f.encodings))
 		return false;
@@ -60,7 +61,7 @@
 	return true;
 }
 
-static bool copy_name(struct request *r, const char *from, size_t len)
+static bool set_service_name(struct request *r, const char *from, size_t len)
 {
 	if (!len || len > TR_NAME_MAX)
 		return false;
@@ -70,9 +71,9 @@
 	       len;
 }
 
-/* The service is named by the path, /s/NAME/..., or by the host's first
- * label. */
-static bool name_service(struct request *r)
+/* Reads the service's name from the path /s/NAME/..., or from the first label
+ * of the Host header. */
+static bool parse_service_name(struct request *r)
 {
 	const char *host = request_header(r, "Host");
 	size_t skip = strlen(SERVICE_PATH);
@@ -80,16 +81,17 @@
 
 	if (!strncmp(r->uri, SERVICE_PATH, skip)) {
 		len = strcspn(r->uri + skip, "/?");
-		if (!copy_name(r, r->uri + skip, len))
+		if (!set_service_name(r, r->uri + skip, len))
 			return false;
 		r->path = r->uri + skip + len;
 		if (*r->path != '/')
 			r->path = "/";
 		return true;
 	}
-	return host && copy_name(r, host, strcspn(host, ".:"));
+	return host && set_service_name(r, host, strcspn(host, ".:"));
 }
 
+/* The caller may shorten the route's deadline but not extend it. */
 static void set_deadline(struct request *r)
 {
 	const struct tr_document *doc = r->svc->document;
@@ -98,18 +100,19 @@
 		TR_MSEC(tr_document_deadline(doc, &doc->routes[r->route]));
 	apr_time_t asked = text ? TR_MSEC(strtol(text, NULL, 10)) : most;
 
-	if (asked < LEAST_DEADLINE)
-		asked = LEAST_DEADLINE;
+	if (asked < MIN_DEADLINE)
+		asked = MIN_DEADLINE;
 	r->deadline = r->began + (asked < most ? asked : most);
 }
 
-static enum tr_result take_key(struct request *r)
+static enum tr_result read_key(struct request *r)
 {
 	const char *text = request_header(r, HEADER_KEY);
-	const char *own = request_header(r, HEADER_OWN_KEY);
+	const char *caller_key = request_header(r, HEADER_OWN_KEY);
 
-	if (own && *own)
-		r->own_key = tr_hash_pair(r->svc->id, tr_hash_string(own));
+	if (caller_key && *caller_key)
+		r->idempotency_key =
+			tr_hash_pair(r->svc->id, tr_hash_string(caller_key));
 	if (!text)
 		return TR_KEY_NEEDED;
 	if (tr_key_read(&r->key, r->proxy->secret, text) ||
@@ -118,7 +121,7 @@
 	return TR_OK;
 }
 
-static enum tr_result take_route(struct request *r)
+static enum tr_result match_route(struct request *r)
 {
 	const struct tr_document *doc = r->svc->document;
 	const struct tr_route *route =
@@ -128,16 +131,17 @@
 	if (!route)
 		return TR_NO_ROUTE;
 	r->route = (unsigned)(route - doc->routes);
-	r->may_repeat = route->repeat == TR_REPEAT_IDEMPOTENT;
+	r->idempotent = route->repeat == TR_REPEAT_IDEMPOTENT;
 	r->priority = route->priority;
 	r->organisation = org && *org ? tr_hash_string(org) : 0;
 	r->body_max = (uint64_t)doc->max_body_mb * 1024 * 1024;
 	set_deadline(r);
 	if (r->body_length > 0 && (uint64_t)r->body_length > r->body_max)
 		return TR_TOO_LARGE;
-	return r->may_repeat ? TR_OK : take_key(r);
+	return r->idempotent ? TR_OK : read_key(r);
 }
 
+/* A VM that left the cell still serves the callers that use its address. */
 static bool served_here(const struct request *r, apr_time_t now)
 {
 	const struct tr_service *svc = r->svc;
@@ -146,7 +150,7 @@
 	       r->forwarded_in;
 }
 
-static enum tr_result not_there(const struct request *r)
+static enum tr_result missing_document(const struct request *r)
 {
 	if (r->svc && !r->svc->document && r->svc->platform_has_none)
 		return TR_NO_SERVICE;
@@ -154,40 +158,40 @@
 }
 
 /*
- * Look at a request's head. False: its service's document is not there yet,
- * ask again. True: state DONE means that a reply is ready, else its body can
- * be read.
+ * Checks a request's headers. False if the service's document has not arrived
+ * yet; call again. True otherwise: a reply is ready if the state is
+ * REQUEST_DONE, else the body can be read.
  */
-bool proxy_arrive(struct request *r)
+bool proxy_check_headers(struct request *r)
 {
 	apr_time_t now = tr_clock_now(loop_clock(r->proxy->loop));
 	enum tr_result res = TR_BAD_REQUEST;
 
-	request_reply_clear(&r->reply);
-	if (!well_framed(r)) {
+	reply_clear(&r->reply);
+	if (!check_framing(r)) {
 		proxy_finish(r, TR_BAD_REQUEST);
 		return true;
 	}
 	if (!strncmp(r->uri, "/v1/", 4))
 		return api_handle(r);
 	r->forwarded_in = request_header(r, HEADER_FORWARDED) != NULL;
-	if (!name_service(r)) {
+	if (!parse_service_name(r)) {
 		proxy_finish(r, TR_NO_SERVICE);
 		return true;
 	}
 	r->svc = config_attend(r->proxy->config, r->service);
 	if (!r->svc || !r->svc->document || !r->svc->confirmed) {
-		if (now - r->began < ARRIVE_WAIT && r->svc &&
+		if (now - r->began < DOCUMENT_WAIT && r->svc &&
 		    !r->svc->platform_has_none)
 			return false;
-		res = not_there(r);
+		res = missing_document(r);
 	} else if (!served_here(r, now)) {
 		res = TR_WRONG_VM;
 	} else {
 		r->svc->counts.requests++;
 		r->svc->users++;
-		r->holds_service = true;
-		res = take_route(r);
+		r->service_referenced = true;
+		res = match_route(r);
 	}
 	if (res != TR_OK)
 		proxy_finish(r, res);
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -1,3 +1,4 @@
+/* One attempt at a target: the request as libcurl sends it, and its answer. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -17,14 +18,14 @@
 }
 
 /*
- * The library sends a request again by itself when a kept connection dies
- * before the first byte of an answer. For a request that must not repeat that
- * would be a second run, which only the target's ledger would show. It asks
- * here before each issue; the second of one attempt is refused.
+ * libcurl resends a request by itself when a reused connection is closed
+ * before the first byte of the answer. For a request that is not idempotent
+ * that would be a second execution, visible only in the target's ledger.
+ * libcurl calls this before each send; the second of an attempt is refused.
  */
-/* NOLINTNEXTLINE(readability-non-const-parameter): the library's type */
-static int before_issue(void *ctx, char *to_ip, char *from_ip, int to_port,
-			int from_port)
+/* NOLINTNEXTLINE(readability-non-const-parameter): libcurl's callback type */
+static int before_send(void *ctx, char *to_ip, char *from_ip, int to_port,
+		       int from_port)
 {
 	struct request *r = ctx;
 
@@ -32,7 +33,7 @@
 	(void)from_ip;
 	(void)to_port;
 	(void)from_port;
-	if (r->attempt.issued++)
+	if (r->attempt.sends++)
 		return CURL_PREREQFUNC_ABORT;
 	if (r->record != TR_NO_RECORD)
 		tr_dispatcher_mark_sent(&r->proxy->board->dispatcher,
@@ -48,11 +49,11 @@
 	size_t got;
 
 	if (!r->body_streamed) {
-		got = r->body.len - a->body_at;
+		got = r->body.len - a->body_offset;
 		if (got > want)
 			got = want;
-		memcpy(out, buffer_bytes(&r->body) + a->body_at, got);
-		a->body_at += got;
+		memcpy(out, buffer_bytes(&r->body) + a->body_offset, got);
+		a->body_offset += got;
 		return got;
 	}
 	got = buffer_take(&r->body, out, want);
@@ -65,6 +66,7 @@
 	return got;
 }
 
+/* Keeps libcurl from resending a body after a rewind. */
 static int refuse_rewind(void *ctx, curl_off_t offset, int origin)
 {
 	(void)ctx;
@@ -73,7 +75,7 @@
 	return CURL_SEEKFUNC_FAIL;
 }
 
-static size_t take_body(char *data, size_t size, size_t n, void *ctx)
+static size_t receive_body(char *data, size_t size, size_t n, void *ctx)
 {
 	struct request *r = ctx;
 	struct reply *reply = &r->reply;
@@ -82,7 +84,7 @@
 	if (r->state == REQUEST_DONE && !reply->streaming)
 		return 0;
 	if (!r->conn && buffer_room(&reply->body) < len) {
-		/* Nobody reads it any more: only that it ended counts. */
+		/* The caller is gone: discard the body, await its end. */
 		reply->streaming = true;
 		reply->body.len = 0;
 		reply->body.start = 0;
@@ -94,8 +96,8 @@
 		return CURL_WRITEFUNC_PAUSE;
 	}
 	buffer_put(&reply->body, data, len);
-	if (!r->attempt.headers_at)
-		r->attempt.headers_at = now_of(r);
+	if (!r->attempt.first_data_at)
+		r->attempt.first_data_at = now_of(r);
 	if (reply->body.len > r->proxy->body_buffer)
 		reply->streaming = true;
 	if (reply->streaming)
@@ -121,9 +123,11 @@
 	return true;
 }
 
-/* The target's own words to this system. They are not passed on, except by a
- * VM to which the request was forwarded. */
-static bool take_words(struct request *r, const char *line, size_t len)
+/*
+ * Reads the headers by which a target reports its state to the proxy. They
+ * are not passed on to the caller.
+ */
+static bool read_target_state(struct request *r, const char *line, size_t len)
 {
 	const char *value;
 	size_t n;
@@ -137,14 +141,15 @@
 		return true;
 	}
 	if (is_header(line, len, HEADER_TARGET_STATE, &value, &n)) {
-		r->attempt.says_leaving =
+		r->attempt.target_leaving =
 			n >= 7 && !strncasecmp(value, "leaving", 7);
 		return true;
 	}
 	return false;
 }
 
-static bool stays_here(const char *line, size_t len, bool forwarded)
+/* Hop-by-hop headers, and the proxy's own unless another VM set them. */
+static bool is_hop_header(const char *line, size_t len, bool forwarded)
 {
 	static const char *const names[] = {
 		"Connection",	     "Keep-Alive", "Proxy-Authenticate",
@@ -160,15 +165,15 @@
 	       !strncasecmp(line, HEADER_PREFIX, strlen(HEADER_PREFIX));
 }
 
-static void take_status_line(struct request *r, const char *line)
+static void read_status_line(struct request *r, const char *line)
 {
 	r->attempt.header_bytes = 0;
 	r->attempt.length_known = false;
-	request_reply_clear(&r->reply);
+	reply_clear(&r->reply);
 	sscanf(line, "HTTP/%*s %d", &r->reply.status);
 }
 
-static size_t take_header(char *data, size_t size, size_t n, void *ctx)
+static size_t receive_header(char *data, size_t size, size_t n, void *ctx)
 {
 	struct request *r = ctx;
 	struct attempt *a = &r->attempt;
@@ -181,7 +186,7 @@
 	while (len && (data[len - 1] == '\r' || data[len - 1] == '\n'))
 		len--;
 	if (len > 5 && !strncmp(data, "HTTP/", 5)) {
-		take_status_line(r, data);
+		read_status_line(r, data);
 		return total;
 	}
 	a->header_bytes += len;
@@ -194,7 +199,8 @@
 	}
 	if (is_header(data, len, "Transfer-Encoding", &value, &value_len))
 		a->length_known = true;
-	if (take_words(r, data, len) || stays_here(data, len, a->forwarded))
+	if (read_target_state(r, data, len) ||
+	    is_hop_header(data, len, a->forwarded))
 		return total;
 	colon = memchr(data, ':', len);
 	if (!colon)
@@ -205,7 +211,7 @@
 		value++;
 		value_len--;
 	}
-	reply_put_header(&r->reply, data, (size_t)(colon - data), value,
+	reply_add_header(&r->reply, data, (size_t)(colon - data), value,
 			 value_len);
 	return total;
 }
@@ -216,11 +222,12 @@
 	       r->reply.status == 304;
 }
 
+/* Maps libcurl's result and the status to how the attempt ended. */
 static enum tr_attempt_end classify(const struct request *r, CURLcode code)
 {
 	const struct attempt *a = &r->attempt;
 
-	if (code != CURLE_OK && !a->issued)
+	if (code != CURLE_OK && !a->sends)
 		return TR_ATTEMPT_UNREACHED;
 	switch (code) {
 	case CURLE_OK:
@@ -237,7 +244,7 @@
 	default:
 		return TR_ATTEMPT_BROKEN;
 	}
-	/* Without a length nobody can tell a whole answer from a cut one. */
+	/* Without a length a truncated answer looks complete. */
 	if (!a->length_known && !has_no_body(r))
 		return TR_ATTEMPT_CUT_SHORT;
 	if (r->reply.status == 503 && a->refused)
@@ -253,7 +260,7 @@
 		       : tr_service_target(r->svc, r->attempt.target);
 }
 
-static void release(struct request *r)
+static void release_transfer(struct request *r)
 {
 	struct attempt *a = &r->attempt;
 
@@ -265,7 +272,7 @@
 	r->attempt_running = false;
 }
 
-static void tell_target(struct request *r, enum tr_attempt_end how)
+static void report_end(struct request *r, enum tr_attempt_end how)
 {
 	struct tr_target *target = target_of(r);
 	struct tr_board *board = r->proxy->board;
@@ -276,40 +283,43 @@
 	if (r->attempt.load >= 0)
 		tr_target_set_reported_load(target, (uint32_t)r->attempt.load,
 					    now);
-	if (r->attempt.says_leaving)
+	if (r->attempt.target_leaving)
 		tr_target_announce_leaving(board, r->svc, target);
-	/* The time of a streamed body is its sender's, not the target's. */
+	/*
+	 * The duration of a streamed body depends on the caller, not on the
+	 * target, so the median latency is recorded instead.
+	 */
 	tr_attempt_end(
 		board, r->svc, target, r->route, how,
 		r->body_streamed && how == TR_ATTEMPT_ANSWERED
 			? now - tr_service_median_latency(r->svc, r->route)
 			: r->attempt.began,
-		r->attempt.counted, now);
+		r->attempt.overdue_reported, now);
 }
 
-static void done(void *owner, CURLcode code)
+static void transfer_done(void *owner, CURLcode code)
 {
 	struct request *r = owner;
 	enum tr_attempt_end how = classify(r, code);
 
-	release(r);
-	tell_target(r, how);
-	proxy_attempt_over(r, how);
+	release_transfer(r);
+	report_end(r, how);
+	proxy_attempt_done(r, how);
 }
 
-/* End a running attempt; its connection is closed with it. */
+/* Cancels a running attempt and closes its connection. */
 void attempt_abandon(struct request *r, enum tr_attempt_end how)
 {
 	if (!r->attempt_running)
 		return;
-	release(r);
-	tell_target(r, how);
+	release_transfer(r);
+	report_end(r, how);
 }
 
-static int add_header(void *ctx, enum MHD_ValueKind kind, const char *name,
-		      const char *value)
+static int copy_header(void *ctx, enum MHD_ValueKind kind, const char *name,
+		       const char *value)
 {
-	static const char *const dropped[] = {
+	static const char *const not_copied[] = {
 		"Connection", "Keep-Alive",	"Proxy-Authorization",
 		"TE",	      "Trailer",	"Transfer-Encoding",
 		"Upgrade",    "Content-Length", "Expect",
@@ -319,8 +329,8 @@
 	char line[8192];
 
 	(void)kind;
-	for (size_t i = 0; i < sizeof(dropped) / sizeof(dropped[0]); i++)
-		if (!strcasecmp(name, dropped[i]))
+	for (size_t i = 0; i < sizeof(not_copied) / sizeof(not_copied[0]); i++)
+		if (!strcasecmp(name, not_copied[i]))
 			return MHD_YES;
 	if (!r->attempt.forwarded &&
 	    !strncasecmp(name, HEADER_PREFIX, strlen(HEADER_PREFIX)))
@@ -340,11 +350,11 @@
 
 	if (r->conn)
 		MHD_get_connection_values(r->conn, MHD_HEADER_KIND,
-					  (MHD_KeyValueIterator)add_header, r);
+					  (MHD_KeyValueIterator)copy_header, r);
 	snprintf(line, sizeof(line), "Host: %s", r->service);
 	a->headers = curl_slist_append(a->headers, line);
 	a->headers = curl_slist_append(a->headers, "Expect:");
-	if (a->trickle)
+	if (a->probe)
 		a->headers =
 			curl_slist_append(a->headers, HEADER_TRICKLE ": 1");
 	snprintf(line, sizeof(line), "%s: %ld",
@@ -383,26 +393,28 @@
 	apr_time_t left = r->deadline - now;
 	auto_free char *url = NULL;
 
-	request_reply_clear(&r->reply);
+	reply_clear(&r->reply);
 	a->began = now;
 	a->load = -1;
-	a->easy = client_easy_new(r->proxy->client, done, r);
+	a->easy = client_easy_new(r->proxy->client, transfer_done, r);
 	if (!a->easy || asprintf(&url, "http://%s%s", authority, r->path) < 0)
 		return -1;
 	curl_easy_setopt(a->easy, CURLOPT_URL, url);
 	curl_easy_setopt(a->easy, CURLOPT_PATH_AS_IS, 1L);
 	curl_easy_setopt(a->easy, CURLOPT_TIMEOUT_MS,
 			 left > 1000 ? (long)(left / 1000) : 1L);
-	curl_easy_setopt(a->easy, CURLOPT_PREREQFUNCTION, before_issue);
+	curl_easy_setopt(a->easy, CURLOPT_PREREQFUNCTION, before_send);
 	curl_easy_setopt(a->easy, CURLOPT_PREREQDATA, r);
-	curl_easy_setopt(a->easy, CURLOPT_WRITEFUNCTION, take_body);
+	curl_easy_setopt(a->easy, CURLOPT_WRITEFUNCTION, receive_body);
 	curl_easy_setopt(a->easy, CURLOPT_WRITEDATA, r);
-	curl_easy_setopt(a->easy, CURLOPT_HEADERFUNCTION, take_header);
+	curl_easy_setopt(a->easy, CURLOPT_HEADERFUNCTION, receive_header);
 	curl_easy_setopt(a->easy, CURLOPT_HEADERDATA, r);
-	/* A kept connection may be closing just now, and then nobody can say
-	 * whether the request was run. A new one costs a millisecond. */
+	/*
+	 * The target may be closing an idle connection, and then it is unknown
+	 * whether the request was run. A new connection costs a millisecond.
+	 */
 	curl_easy_setopt(a->easy, CURLOPT_FRESH_CONNECT,
-			 r->may_repeat ? 0L : 1L);
+			 r->idempotent ? 0L : 1L);
 	set_method(r);
 	set_headers(r, left);
 	r->attempt_running = true;
@@ -410,13 +422,13 @@
 	return client_easy_start(r->proxy->client, a->easy);
 }
 
-/* Send the request to the target. -1 when it could not be started at all. */
+/* Sends the request to the target. Returns 0, or -1 if it can't be started. */
 int attempt_start(struct request *r, struct tr_target *target,
 		  enum tr_pick_kind kind)
 {
 	memset(&r->attempt, 0, sizeof(r->attempt));
 	r->attempt.target = target->id;
-	r->attempt.trickle = kind == TR_PICK_PROBE;
+	r->attempt.probe = kind == TR_PICK_PROBE;
 	if (r->tried.count < sizeof(r->tried.ids) / sizeof(r->tried.ids[0]))
 		r->tried.ids[r->tried.count++] = target->id;
 	tr_attempt_begin(r->svc, target, kind, now_of(r));
@@ -426,18 +438,18 @@
 	return -1;
 }
 
-/* Send the request on to the VM whose process minted its key. */
+/* Forwards the request to the VM at authority. 0, or -1 as attempt_start. */
 int attempt_forward(struct request *r, const char *authority)
 {
 	memset(&r->attempt, 0, sizeof(r->attempt));
 	r->attempt.forwarded = true;
 	if (!start(r, authority))
 		return 0;
-	release(r);
+	release_transfer(r);
 	return -1;
 }
 
-/* More of the caller's body has come. */
+/* Resumes sending after more of the caller's body has been received. */
 void attempt_body_ready(struct request *r)
 {
 	if (!r->attempt_running || !r->attempt.read_paused)
@@ -448,7 +460,7 @@
 						 : CURLPAUSE_CONT);
 }
 
-/* The caller has taken some of the answer. */
+/* Resumes reading from the target once half of the buffer is free. */
 void attempt_reply_drained(struct request *r)
 {
 	if (!r->attempt_running || !r->attempt.write_paused)
@@ -461,9 +473,11 @@
 						 : CURLPAUSE_CONT);
 }
 
-/* Could the whole request be sent again, and does the caller not yet have a
- * part of an answer? */
-bool attempt_may_replay(const struct request *r)
+/*
+ * Whether the request can be sent again: its body is still buffered, and the
+ * caller has received no part of an answer.
+ */
+bool attempt_can_resend(const struct request *r)
 {
 	return !r->body_streamed && !r->reply.streaming && !r->responded;
 }
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -1,3 +1,4 @@
+/* Life of a proxied request, from its admission to its reply. */
 #include "proxy.h"
 
 #include <arpa/inet.h>
@@ -12,17 +13,17 @@
 #include "loop.h"
 #include "server.h"
 
-#define MOST_ATTEMPTS 8
-#define MOST_REFUSALS 200
-#define IDLE_S	      30
+#define MAX_ATTEMPTS  8
+#define MAX_REFUSALS  200
+#define CALLER_IDLE_S 30
 
 static apr_time_t now_of(const struct proxy *proxy)
 {
 	return tr_clock_now(loop_clock(proxy->loop));
 }
 
-static void count_code(struct proxy *proxy, struct tr_service *svc,
-		       enum tr_result code)
+static void count_result(struct proxy *proxy, struct tr_service *svc,
+			 enum tr_result code)
 {
 	enum tr_outcome outcome = tr_result_outcome(code);
 
@@ -38,8 +39,8 @@
 	svc->counts.shed += code == TR_QUEUE_FULL || code == TR_WOULD_BE_LATE;
 }
 
-/* The addresses that a caller of the service should use, as JSON. */
-static json_t *addresses_of(const struct request *r)
+/* JSON list of "address:port" of the VMs that serve the service. */
+static json_t *cell_addresses(const struct request *r)
 {
 	const struct tr_board *board = r->proxy->board;
 	uint32_t order[TR_MAX_CELL];
@@ -59,6 +60,7 @@
 	return list;
 }
 
+/* Retry-After in ms; 0 unless the status is 429 or 503. */
 static uint32_t retry_after(const struct request *r, enum tr_result code)
 {
 	if (tr_result_http_status(code) != 503 &&
@@ -69,7 +71,8 @@
 	return 1000;
 }
 
-static json_t *own_answer(struct request *r, enum tr_result code)
+/* Body of a response that is generated here. */
+static json_t *error_body(struct request *r, enum tr_result code)
 {
 	json_t *body =
 		json_pack("{s:i, s:s, s:s, s:s, s:s}", "code", (int)code,
@@ -82,34 +85,35 @@
 		json_object_set_new(body, "retry_after_ms",
 				    json_integer(r->reply.retry_after_ms));
 	if (code == TR_WRONG_VM)
-		json_object_set_new(body, "addresses", addresses_of(r));
+		json_object_set_new(body, "addresses", cell_addresses(r));
 	if (code == TR_KEY_NEEDED) {
 		tr_dispatcher_mint(&r->proxy->board->dispatcher, r->svc->id,
 				   now_of(r->proxy), key);
 		json_object_set_new(body, "key", json_string(key));
-		reply_put_header(&r->reply, HEADER_KEY, strlen(HEADER_KEY), key,
+		reply_add_header(&r->reply, HEADER_KEY, strlen(HEADER_KEY), key,
 				 strlen(key));
 	}
 	return body;
 }
 
-/* Make the reply a JSON value of the system's own, which is given up. */
-void proxy_answer_json(struct request *r, enum tr_result code, int status,
-		       void *json)
+/* Sets a reply that is generated here. Takes over the reference to json. */
+void proxy_reply_json(struct request *r, enum tr_result code, int status,
+		      void *json)
 {
 	char *text = json_dumps(json, JSON_INDENT(1));
 
 	json_decref(json);
-	r->reply.own = true;
+	r->reply.generated = true;
 	r->reply.code = code;
 	r->reply.status = status;
-	reply_put_header(&r->reply, "Content-Type", 12, "application/json", 16);
+	reply_add_header(&r->reply, "Content-Type", 12, "application/json", 16);
 	if (text)
 		buffer_put(&r->reply.body, text, strlen(text));
 	free(text);
 }
 
-static void close_record(struct request *r, enum tr_outcome outcome)
+/* Stores the outcome and the answer under the request's key. */
+static void finish_record(struct request *r, enum tr_outcome outcome)
 {
 	const struct reply *reply = &r->reply;
 	const char *type = NULL;
@@ -130,15 +134,16 @@
 }
 
 /*
- * An attempt that was sent and did not end in a proof of not-run leaves the
- * request perhaps run, whatever a later attempt says. One would notice by a
- * "not-run" for a request that stands in a target's ledger.
+ * Records whether the attempt may have executed the request. Once one may
+ * have, the outcome is "unknown" even if a later attempt is provably not run;
+ * otherwise a caller would be told "not-run" for a request in a target's
+ * ledger.
  */
-static void note_if_run(struct request *r, enum tr_attempt_end how)
+static void note_if_executed(struct request *r, enum tr_attempt_end how)
 {
 	if (how == TR_ATTEMPT_TARGET_REFUSED || how == TR_ATTEMPT_UNREACHED)
 		return;
-	r->maybe_run = true;
+	r->maybe_executed = true;
 	r->unknown_code =
 		how == TR_ATTEMPT_ABANDONED || how == TR_ATTEMPT_FAILED_STATUS
 			? TR_TIMED_OUT
@@ -146,8 +151,8 @@
 }
 
 /*
- * The request's fate is settled: answer the caller now, whatever is left of
- * its deadline. With ANSWERED the reply is the target's; else it is made here.
+ * Ends the request with its result and answers the caller at once. With
+ * TR_ANSWERED the reply is the target's; otherwise it is generated here.
  */
 void proxy_finish(struct request *r, enum tr_result code)
 {
@@ -156,25 +161,25 @@
 	if (r->svc && r->waiter != TR_NO_WAITER)
 		tr_queue_cancel(&r->svc->queue, r->waiter);
 	r->waiter = TR_NO_WAITER;
-	if (r->attempt_running && r->attempt.issued)
-		note_if_run(r, TR_ATTEMPT_ABANDONED);
+	if (r->attempt_running && r->attempt.sends)
+		note_if_executed(r, TR_ATTEMPT_ABANDONED);
 	attempt_abandon(r, TR_ATTEMPT_ABANDONED);
 	r->state = REQUEST_DONE;
-	if (r->maybe_run && tr_result_outcome(code) == TR_OUTCOME_NOT_RUN)
+	if (r->maybe_executed && tr_result_outcome(code) == TR_OUTCOME_NOT_RUN)
 		code = r->unknown_code;
 	r->reply.code = code;
-	close_record(r, tr_result_outcome(code));
+	finish_record(r, tr_result_outcome(code));
 	if (!r->attempt.forwarded)
-		count_code(r->proxy, r->svc, code);
+		count_result(r->proxy, r->svc, code);
 	if (code == TR_ANSWERED) {
 		r->reply.complete = true;
 	} else if (r->responded) {
-		r->reply.broken = true;
+		r->reply.cut_off = true;
 	} else {
-		request_reply_clear(&r->reply);
+		reply_clear(&r->reply);
 		r->reply.retry_after_ms = retry_after(r, code);
-		proxy_answer_json(r, code, tr_result_http_status(code),
-				  own_answer(r, code));
+		proxy_reply_json(r, code, tr_result_http_status(code),
+				 error_body(r, code));
 	}
 	if (r->conn)
 		request_resume(r);
@@ -182,7 +187,7 @@
 		request_free(r);
 }
 
-/* The answer of an earlier request with the same key. */
+/* Replies with the stored answer of an earlier request with the same key. */
 static void replay(struct request *r, uint32_t record)
 {
 	const struct tr_dispatch_record *rec =
@@ -191,7 +196,7 @@
 	r->reply.status = rec->http_status;
 	r->reply.replayed = true;
 	if (*rec->content_type)
-		reply_put_header(&r->reply, "Content-Type", 12,
+		reply_add_header(&r->reply, "Content-Type", 12,
 				 rec->content_type, strlen(rec->content_type));
 	if (rec->answer)
 		buffer_put(&r->reply.body, rec->answer, rec->answer_len);
@@ -199,6 +204,10 @@
 	proxy_finish(r, TR_ANSWERED);
 }
 
+/*
+ * Hash of method, path and body, by which a key that is reused for another
+ * request is detected. For a streamed body only its length is known.
+ */
 static uint64_t fingerprint(const struct request *r)
 {
 	uint64_t h = tr_hash_pair(tr_hash_string(r->method),
@@ -209,8 +218,11 @@
 	return tr_hash_pair(h, tr_hash(buffer_bytes(&r->body), r->body.len));
 }
 
-/* Was the key minted by another process? Then only that one may send. */
-static bool minted_elsewhere(const struct request *r)
+/*
+ * Whether the key was minted by another VM's process. Only that process knows
+ * whether the key was used, so only it may send the request.
+ */
+static bool minted_by_other_vm(const struct request *r)
 {
 	const struct tr_dispatcher *d = &r->proxy->board->dispatcher;
 
@@ -218,6 +230,7 @@
 	       (r->key.address != d->address || r->key.port != d->port);
 }
 
+/* Forwards the request to the VM that minted its key, at most one hop. */
 static void forward(struct request *r)
 {
 	struct in_addr ip = { htonl(r->key.address) };
@@ -230,25 +243,26 @@
 	}
 	inet_ntop(AF_INET, &ip, text, sizeof(text));
 	snprintf(authority, sizeof(authority), "%s:%u", text, r->key.port);
-	r->forward_out = true;
+	r->forwarded_out = true;
 	r->proxy->counts.forwarded++;
 	r->state = REQUEST_AT_TARGET;
 	if (attempt_forward(r, authority))
 		proxy_finish(r, TR_KEY_DEAD);
 }
 
+/* True if the request may be sent; else it was answered or forwarded. */
 static bool admit_key(struct request *r)
 {
 	enum tr_result res;
 	uint32_t record;
 
-	if (minted_elsewhere(r)) {
+	if (minted_by_other_vm(r)) {
 		forward(r);
 		return false;
 	}
-	res = tr_dispatcher_admit(&r->proxy->board->dispatcher, &r->key,
-				  r->svc->id, fingerprint(r), r->own_key,
-				  now_of(r->proxy), &record);
+	res = tr_dispatcher_admit(
+		&r->proxy->board->dispatcher, &r->key, r->svc->id,
+		fingerprint(r), r->idempotency_key, now_of(r->proxy), &record);
 	if (res == TR_OK) {
 		r->record = record;
 		return true;
@@ -260,7 +274,8 @@
 	return false;
 }
 
-static void wait_for_slot(struct request *r)
+/* Queues the request, which may evict one of lower priority. */
+static void enqueue(struct request *r)
 {
 	struct tr_waiter waiter = {
 		.owner = r,
@@ -272,7 +287,7 @@
 	enum tr_result res;
 
 	r->tried.count = 0;
-	r->state = REQUEST_WAITING;
+	r->state = REQUEST_QUEUED;
 	res = tr_queue_push(&r->svc->queue, &waiter,
 			    r->svc->document->share_percent,
 			    tr_service_median_latency(r->svc, r->route),
@@ -293,43 +308,43 @@
 		proxy_finish(r, TR_UNREACHED);
 }
 
-/* Send the request to a target, or let it wait for one. */
-static void place(struct request *r)
+/* Sends the request to a target, or queues it until one has a free slot. */
+static void send_or_queue(struct request *r)
 {
 	struct tr_target *target;
 	enum tr_pick_kind kind;
 
 	if (r->svc->queue.length && !r->attempts) {
-		wait_for_slot(r);
+		enqueue(r);
 		return;
 	}
-	target = tr_service_pick(r->proxy->board, r->svc, r->may_repeat,
+	target = tr_service_pick(r->proxy->board, r->svc, r->idempotent,
 				 &r->tried, &kind);
 	if (target)
 		send_to(r, target, kind);
 	else if (kind == TR_PICK_BUSY || r->tried.count)
-		wait_for_slot(r);
+		enqueue(r);
 	else
 		proxy_finish(r, TR_NO_TARGET);
 }
 
-/* The request is whole, or has filled the buffer: act on it. */
+/* Admits and sends a request whose body is complete or fills the buffer. */
 void proxy_dispatch(struct request *r)
 {
-	if (r->may_repeat || admit_key(r))
-		place(r);
+	if (r->idempotent || admit_key(r))
+		send_or_queue(r);
 }
 
-/* Take the request from its target and send it to another. */
-void proxy_move(struct request *r)
+/* Abandons the current attempt and sends the request to another target. */
+void proxy_reroute(struct request *r)
 {
-	if (r->attempt.issued)
-		note_if_run(r, TR_ATTEMPT_ABANDONED);
+	if (r->attempt.sends)
+		note_if_executed(r, TR_ATTEMPT_ABANDONED);
 	attempt_abandon(r, TR_ATTEMPT_ABANDONED);
-	place(r);
+	send_or_queue(r);
 }
 
-/* Give free slots to those that wait. */
+/* Sends queued requests for as long as targets have free slots. */
 void proxy_serve_queue(struct proxy *proxy, struct tr_service *svc)
 {
 	while (svc->queue.length) {
@@ -348,33 +363,37 @@
 	}
 }
 
-static bool time_left(const struct request *r)
+static bool deadline_allows_retry(const struct request *r)
 {
 	return now_of(r->proxy) + tr_service_median_latency(r->svc, r->route) <
 	       r->deadline;
 }
 
 /*
- * May the request be tried again after an attempt that ended so? What must
- * not repeat, only when it was provably not run; else within the budget.
+ * Whether the request may be retried after an attempt that ended this way. A
+ * request that is not idempotent is retried only if it was provably not run;
+ * others are retried within the retry budget.
  */
 static bool may_retry(struct request *r, enum tr_attempt_end how)
 {
 	bool not_run =
 		how == TR_ATTEMPT_TARGET_REFUSED || how == TR_ATTEMPT_UNREACHED;
 
-	if (!r->conn || !attempt_may_replay(r) || r->forward_out ||
-	    !time_left(r))
+	if (!r->conn || !attempt_can_resend(r) || r->forwarded_out ||
+	    !deadline_allows_retry(r))
 		return false;
-	/* A full target costs little and refuses often when all are busy: what
-	 * must get through is tried until its deadline, not eight times. */
+	/*
+	 * A refusal is cheap, and frequent while all targets are busy, so it
+	 * does not count against MAX_ATTEMPTS: the request is retried until
+	 * its deadline, or MAX_REFUSALS times.
+	 */
 	if (how == TR_ATTEMPT_TARGET_REFUSED)
-		return ++r->refusals < MOST_REFUSALS;
-	if (r->attempts - r->refusals >= MOST_ATTEMPTS)
+		return ++r->refusals < MAX_REFUSALS;
+	if (r->attempts - r->refusals >= MAX_ATTEMPTS)
 		return false;
 	if (not_run)
 		return true;
-	return r->may_repeat && tr_retry_withdraw(&r->svc->retries);
+	return r->idempotent && tr_retry_withdraw(&r->svc->retries);
 }
 
 static enum tr_result final_code(const struct request *r,
@@ -382,35 +401,36 @@
 {
 	enum tr_result code = tr_attempt_result(how);
 
-	/* This VM did not send it, but the VM that minted the key may have. */
-	if (r->forward_out && code != TR_ANSWERED)
+	/* The VM that minted the key may have sent the request. */
+	if (r->forwarded_out && code != TR_ANSWERED)
 		return TR_KEY_DEAD;
 	return code;
 }
 
-/* An attempt ended: try again, or answer the caller. */
-void proxy_attempt_over(struct request *r, enum tr_attempt_end how)
+/* Handles the end of an attempt: retries, or answers the caller. */
+void proxy_attempt_done(struct request *r, enum tr_attempt_end how)
 {
 	struct proxy *proxy = r->proxy;
 	struct tr_service *svc = r->svc;
 
-	note_if_run(r, how);
+	note_if_executed(r, how);
 	if (how == TR_ATTEMPT_ANSWERED)
 		tr_retry_deposit(&svc->retries, svc->document->retry_percent);
-	if (how == TR_ATTEMPT_FAILED_STATUS && r->forward_out)
+	if (how == TR_ATTEMPT_FAILED_STATUS && r->forwarded_out)
 		how = TR_ATTEMPT_ANSWERED;
 	if (how == TR_ATTEMPT_ANSWERED) {
 		proxy_finish(r, TR_ANSWERED);
 	} else if (may_retry(r, how)) {
 		svc->counts.retries++;
-		place(r);
+		send_or_queue(r);
 	} else {
 		proxy_finish(r, final_code(r, how));
 	}
 	proxy_serve_queue(proxy, svc);
 }
 
-static size_t take_upload(struct request *r, const char *data, size_t len)
+/* Buffers body data; returns how many bytes were consumed. */
+static size_t buffer_body(struct request *r, const char *data, size_t len)
 {
 	size_t got;
 
@@ -427,16 +447,16 @@
 	return got;
 }
 
-static void uploading(struct request *r, const char *data, size_t *len)
+static void body_received(struct request *r, const char *data, size_t *len)
 {
-	size_t got = take_upload(r, data, *len);
+	size_t got = buffer_body(r, data, *len);
 
 	*len -= got;
 	if (r->state == REQUEST_DONE) {
 		*len = 0;
 		return;
 	}
-	if (r->state == REQUEST_READING && !buffer_room(&r->body)) {
+	if (r->state == REQUEST_BODY && !buffer_room(&r->body)) {
 		r->body_streamed = true;
 		proxy_dispatch(r);
 	}
@@ -445,13 +465,13 @@
 		request_suspend(r);
 }
 
-static enum MHD_Result body_ended(struct request *r)
+static enum MHD_Result body_end_received(struct request *r)
 {
 	if (r->responded)
 		return MHD_YES;
 	if (!r->body_complete) {
 		r->body_complete = true;
-		if (r->state == REQUEST_READING)
+		if (r->state == REQUEST_BODY)
 			proxy_dispatch(r);
 		attempt_body_ready(r);
 	}
@@ -461,15 +481,15 @@
 	return MHD_YES;
 }
 
-static enum MHD_Result arriving(struct request *r)
+static enum MHD_Result headers_received(struct request *r)
 {
-	if (!proxy_arrive(r)) {
+	if (!proxy_check_headers(r)) {
 		request_suspend(r);
 		return MHD_YES;
 	}
 	if (r->state == REQUEST_DONE)
 		return reply_queue(r);
-	r->state = REQUEST_READING;
+	r->state = REQUEST_BODY;
 	return MHD_YES;
 }
 
@@ -488,17 +508,17 @@
 	r->conn = conn;
 	if (r->state == REQUEST_NEW) {
 		snprintf(r->method, sizeof(r->method), "%s", method);
-		r->state = REQUEST_ARRIVING;
+		r->state = REQUEST_HEADERS;
 	}
-	if (r->state == REQUEST_ARRIVING)
-		return arriving(r);
+	if (r->state == REQUEST_HEADERS)
+		return headers_received(r);
 	if (r->state == REQUEST_DONE && r->reply.code == TR_CALLER_GONE)
 		return MHD_NO;
 	if (*upload_len) {
-		uploading(r, upload, upload_len);
+		body_received(r, upload, upload_len);
 		return MHD_YES;
 	}
-	return body_ended(r);
+	return body_end_received(r);
 }
 
 static void *begin(void *ctx, const char *uri, struct MHD_Connection *conn)
@@ -511,9 +531,9 @@
 }
 
 /*
- * The caller's side is over. What may repeat is cancelled at the target; what
- * must not goes on without its caller, so that its outcome becomes known and
- * is there when the caller asks again with the same key.
+ * The caller's connection ended. An idempotent request is cancelled at the
+ * target. Any other continues, so that its outcome is known and stored for a
+ * retry of the caller with the same key.
  */
 static void completed(void *ctx, struct MHD_Connection *conn, void **con_cls,
 		      enum MHD_RequestTerminationCode code)
@@ -538,17 +558,17 @@
 	proxy_finish(r, TR_CALLER_GONE);
 }
 
-/* Requests that wait for a document look again. */
+/* Resumes the requests that wait for their service's document. */
 void proxy_config_changed(void *ctx)
 {
 	struct proxy *proxy = ctx;
 
 	for (struct request *r = proxy->requests; r; r = r->next)
-		if (r->state == REQUEST_ARRIVING)
+		if (r->state == REQUEST_HEADERS)
 			request_resume(r);
 }
 
-/* Serve callers. NULL and err when the address can't be bound. */
+/* Starts to accept callers. NULL and err if the address can't be bound. */
 struct proxy *proxy_new(struct loop *loop, struct client *client,
 			struct tr_board *board, struct config *config,
 			const struct tr_secret *secret,
@@ -560,7 +580,7 @@
 		.port = o->port,
 		.field = "port",
 		.connections = o->connections,
-		.idle_s = IDLE_S,
+		.idle_s = CALLER_IDLE_S,
 		.handler = handler,
 		.completed = completed,
 		.begin = begin,
--- a/src/proxy.h
+++ b/src/proxy.h
@@ -1,3 +1,7 @@
+/*
+ * HTTP reverse proxy: accepts callers' requests, sends each to a target of its
+ * service and returns the answer with its outcome.
+ */
 #ifndef PROXY_H
 #define PROXY_H
 
@@ -6,8 +10,8 @@
 struct proxy_options {
 	const char *ip;
 	uint16_t port;
-	unsigned connections;
-	size_t body_buffer;
+	unsigned connections; /* limit of concurrent connections */
+	size_t body_buffer;   /* bytes of a request body that are buffered */
 };
 
 struct proxy *proxy_new(struct loop *loop, struct client *client,
@@ -18,9 +22,9 @@
 void proxy_destroy(struct proxy *proxy);
 void proxy_sweep(struct proxy *proxy);
 void proxy_config_changed(void *proxy);
-bool proxy_arrive(struct request *r);
-void proxy_answer_json(struct request *r, enum tr_result code, int status,
-		       void *json);
+bool proxy_check_headers(struct request *r);
+void proxy_reply_json(struct request *r, enum tr_result code, int status,
+		      void *json);
 bool api_handle(struct request *r);
 
 #endif
--- a/src/reply.c
+++ b/src/reply.c
@@ -1,3 +1,4 @@
+/* Sends the reply to the caller through libmicrohttpd (MHD). */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,8 +9,8 @@
 
 #define STREAM_BLOCK (32 * 1024)
 
-/* Keep one header of a target's answer, to be passed on. */
-void reply_put_header(struct reply *reply, const char *name, size_t name_len,
+/* Adds a header to the reply; dropped if memory runs out. */
+void reply_add_header(struct reply *reply, const char *name, size_t name_len,
 		      const char *value, size_t value_len)
 {
 	struct header *grown;
@@ -28,11 +29,11 @@
 }
 
 /*
- * The library asks for more of a streamed answer. An answer that broke off
- * ends in an error, so that the caller's connection breaks too: it must not
- * look whole.
+ * MHD's callback for the next bytes of a streamed body. If the target's answer
+ * was cut off, the caller's connection is reset, so that the caller does not
+ * take the part for the whole.
  */
-static ssize_t next_bytes(void *ctx, uint64_t pos, char *buf, size_t max)
+static ssize_t read_body(void *ctx, uint64_t pos, char *buf, size_t max)
 {
 	struct request *r = ctx;
 	size_t got = buffer_take(&r->reply.body, buf, max);
@@ -43,7 +44,7 @@
 		attempt_reply_drained(r);
 		return (ssize_t)got;
 	}
-	if (r->reply.broken)
+	if (r->reply.cut_off)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
 	if (r->reply.complete)
 		return MHD_CONTENT_READER_END_OF_STREAM;
@@ -64,15 +65,16 @@
 	}
 	return MHD_create_response_from_callback(
 		reply->length >= 0 ? (uint64_t)reply->length : MHD_SIZE_UNKNOWN,
-		STREAM_BLOCK, next_bytes, r, NULL);
+		STREAM_BLOCK, read_body, r, NULL);
 }
 
-static void add_outcome(struct request *r, struct MHD_Response *response)
+/* Headers with the outcome; a forwarded answer already has them. */
+static void add_result_headers(struct request *r, struct MHD_Response *response)
 {
 	struct reply *reply = &r->reply;
 	char text[64];
 
-	if (r->attempt.forwarded && !reply->own)
+	if (r->attempt.forwarded && !reply->generated)
 		return;
 	MHD_add_response_header(
 		response, HEADER_OUTCOME,
@@ -91,7 +93,7 @@
 	MHD_add_response_header(response, "Retry-After", text);
 }
 
-/* Hand the reply to the library; the caller may go on reading it for long. */
+/* Queues the reply with MHD, which reads a streamed body through r later. */
 enum MHD_Result reply_queue(struct request *r)
 {
 	struct MHD_Response *response = make_response(r);
@@ -102,7 +104,7 @@
 	for (unsigned i = 0; i < r->reply.headers_count; i++)
 		MHD_add_response_header(response, r->reply.headers[i].name,
 					r->reply.headers[i].value);
-	add_outcome(r, response);
+	add_result_headers(r, response);
 	ret = MHD_queue_response(r->conn, (unsigned)r->reply.status, response);
 	MHD_destroy_response(response);
 	r->responded = true;
--- a/src/request.c
+++ b/src/request.c
@@ -1,3 +1,4 @@
+/* Allocation of requests, and suspension of their connections. */
 #include "request.h"
 
 #include <stdlib.h>
@@ -7,7 +8,7 @@
 #include "loop.h"
 #include "server.h"
 
-/* A request whose first line has been read. */
+/* Creates the state of a request whose request line has been read. */
 struct request *request_new(struct proxy *proxy, const char *uri)
 {
 	struct request *r = calloc(1, sizeof(*r));
@@ -34,7 +35,7 @@
 	return r;
 }
 
-void request_reply_clear(struct reply *reply)
+void reply_clear(struct reply *reply)
 {
 	size_t max = reply->body.max;
 
@@ -58,15 +59,15 @@
 	else
 		r->proxy->requests = r->next;
 	r->proxy->in_flight--;
-	if (r->holds_service)
+	if (r->service_referenced)
 		r->svc->users--;
-	request_reply_clear(&r->reply);
+	reply_clear(&r->reply);
 	buffer_free(&r->body);
 	free(r->uri);
 	free(r);
 }
 
-/* Leave the caller's connection alone until request_resume. */
+/* Stops reading from and writing to the caller until request_resume. */
 void request_suspend(struct request *r)
 {
 	if (!r->conn || r->suspended)
@@ -84,7 +85,7 @@
 	server_kick(r->proxy->server);
 }
 
-/* A header of the caller's request, or NULL. */
+/* Value of a header of the caller's request, or NULL. */
 const char *request_header(const struct request *r, const char *name)
 {
 	if (!r->conn)
--- a/src/sweep.c
+++ b/src/sweep.c
@@ -1,4 +1,4 @@
-/* What is looked at while requests run: lateness, callers that went away. */
+/* Periodic checks of pending requests: overdue attempts, callers that left. */
 #include <sys/socket.h>
 
 #include "headers.h"
@@ -25,23 +25,23 @@
 }
 
 /*
- * A request that may repeat and is overdue at one target is moved to another,
- * within the retry budget, rather than left to its deadline.
+ * Sends an idempotent request that is overdue at one target to another, within
+ * the retry budget, instead of waiting for its deadline.
  */
 static void maybe_hedge(struct request *r, apr_time_t now)
 {
 	apr_time_t after = tr_service_slow_threshold(r->svc, r->route) *
 			   HEDGE_NUMERATOR / HEDGE_DENOMINATOR;
 
-	if (!r->may_repeat || !r->attempt.counted || r->forward_out ||
-	    now - r->attempt.began < after || r->attempt.headers_at ||
-	    !attempt_may_replay(r) ||
+	if (!r->idempotent || !r->attempt.overdue_reported ||
+	    r->forwarded_out || now - r->attempt.began < after ||
+	    r->attempt.first_data_at || !attempt_can_resend(r) ||
 	    now + tr_service_median_latency(r->svc, r->route) > r->deadline ||
 	    !tr_retry_withdraw(&r->svc->retries))
 		return;
 	r->proxy->counts.hedged++;
 	r->svc->counts.retries++;
-	proxy_move(r);
+	proxy_reroute(r);
 }
 
 static void sweep_attempt(struct request *r, apr_time_t now)
@@ -50,42 +50,43 @@
 
 	if (!r->attempt_running || r->attempt.forwarded)
 		return;
-	if (r->attempt.headers_at && !r->reply.streaming &&
-	    now - r->attempt.headers_at > STREAM_AFTER) {
+	if (r->attempt.first_data_at && !r->reply.streaming &&
+	    now - r->attempt.first_data_at > STREAM_AFTER) {
 		r->reply.streaming = true;
 		request_resume(r);
 		return;
 	}
 	target = tr_service_target(r->svc, r->attempt.target);
-	if (target && !r->attempt.counted && !r->body_streamed)
-		r->attempt.counted =
+	if (target && !r->attempt.overdue_reported && !r->body_streamed)
+		r->attempt.overdue_reported =
 			tr_attempt_overdue(r->proxy->board, r->svc, target,
 					   r->route, r->attempt.began, now);
 	maybe_hedge(r, now);
 }
 
+/* Fails queued requests that can't be answered in time any more. */
 static void sweep_queue(struct proxy *proxy, struct tr_service *svc,
 			apr_time_t now)
 {
-	struct request *late;
+	struct request *expired;
 
 	if (!svc->used || !svc->queue.waiters)
 		return;
-	while ((late = tr_queue_pop_late(
+	while ((expired = tr_queue_pop_late(
 			&svc->queue, tr_service_median_latency(svc, 0), now))) {
-		late->waiter = TR_NO_WAITER;
-		proxy_finish(late, TR_WOULD_BE_LATE);
+		expired->waiter = TR_NO_WAITER;
+		proxy_finish(expired, TR_WOULD_BE_LATE);
 	}
 	proxy_serve_queue(proxy, svc);
 }
 
 static void sweep_request(struct request *r, apr_time_t now)
 {
-	if (r->state == REQUEST_ARRIVING) {
+	if (r->state == REQUEST_HEADERS) {
 		request_resume(r);
 		return;
 	}
-	if (r->state == REQUEST_READING && now - r->began > UPLOAD_GRACE &&
+	if (r->state == REQUEST_BODY && now - r->began > UPLOAD_GRACE &&
 	    !r->body_streamed && now > r->deadline) {
 		proxy_finish(r, TR_WOULD_BE_LATE);
 		return;
@@ -99,7 +100,7 @@
 		sweep_attempt(r, now);
 }
 
-/* Look at all requests; call about every 10 ms. */
+/* Checks all requests and queues; call about every 10 ms. */
 void proxy_sweep(struct proxy *proxy)
 {
 	apr_time_t now = tr_clock_now(loop_clock(proxy->loop));
