--- a/src/attempt.c
+++ b/src/attempt.c
@@ -52,11 +52,11 @@
 		got = r->body.len - a->body_offset;
 		if (got > want)
 			got = want;
-		memcpy(out, buffer_bytes(&r->body) + a->body_offset, got);
+		memcpy(out, buffer_data(&r->body) + a->body_offset, got);
 		a->body_offset += got;
 		return got;
 	}
-	got = buffer_take(&r->body, out, want);
+	got = buffer_consume(&r->body, out, want);
 	if (!got && !r->body_complete) {
 		a->read_paused = true;
 		return CURL_READFUNC_PAUSE;
@@ -83,19 +83,19 @@
 
 	if (r->state == REQUEST_DONE && !reply->streaming)
 		return 0;
-	if (!r->conn && buffer_room(&reply->body) < len) {
+	if (!r->conn && buffer_space(&reply->body) < len) {
 		/* The caller is gone: discard the body, await its end. */
 		reply->streaming = true;
 		reply->body.len = 0;
 		reply->body.start = 0;
 	}
-	if (buffer_room(&reply->body) < len) {
+	if (buffer_space(&reply->body) < len) {
 		r->attempt.write_paused = true;
 		reply->streaming = true;
 		request_resume(r);
 		return CURL_WRITEFUNC_PAUSE;
 	}
-	buffer_put(&reply->body, data, len);
+	buffer_append(&reply->body, data, len);
 	if (!r->attempt.first_data_at)
 		r->attempt.first_data_at = now_of(r);
 	if (reply->body.len > r->proxy->body_buffer)
@@ -465,7 +465,7 @@
 {
 	if (!r->attempt_running || !r->attempt.write_paused)
 		return;
-	if (buffer_room(&r->reply.body) < r->reply.body.max / 2)
+	if (buffer_space(&r->reply.body) < r->reply.body.max / 2)
 		return;
 	r->attempt.write_paused = false;
 	curl_easy_pause(r->attempt.easy, r->attempt.read_paused
--- a/src/buffer.c
+++ b/src/buffer.c
@@ -3,21 +3,24 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LEAST_SIZE 4096
+#define MIN_SIZE 4096
 
-size_t buffer_room(const struct buffer *b)
+/* Bytes that still fit under the limit. */
+size_t buffer_space(const struct buffer *b)
 {
 	return b->max - b->len;
 }
 
-const char *buffer_bytes(const struct buffer *b)
+/* The unread bytes; never NULL. */
+const char *buffer_data(const struct buffer *b)
 {
 	return b->data ? b->data + b->start : "";
 }
 
-static int make_room(struct buffer *b, size_t len)
+/* Makes room for len more bytes, by moving the data or by growing. */
+static int reserve(struct buffer *b, size_t len)
 {
-	size_t size = b->size ? b->size : LEAST_SIZE;
+	size_t size = b->size ? b->size : MIN_SIZE;
 	char *grown;
 
 	if (b->start && b->start + b->len + len > b->size) {
@@ -38,20 +41,20 @@
 	return 0;
 }
 
-/* Add what fits under the bound; returns how many bytes that was. */
-size_t buffer_put(struct buffer *b, const char *data, size_t len)
+/* Appends what fits under the limit. Returns the number of bytes appended. */
+size_t buffer_append(struct buffer *b, const char *data, size_t len)
 {
-	if (len > buffer_room(b))
-		len = buffer_room(b);
-	if (!len || make_room(b, len))
+	if (len > buffer_space(b))
+		len = buffer_space(b);
+	if (!len || reserve(b, len))
 		return 0;
 	memcpy(b->data + b->start + b->len, data, len);
 	b->len += len;
 	return len;
 }
 
-/* Take up to len bytes off the front. */
-size_t buffer_take(struct buffer *b, char *out, size_t len)
+/* Copies up to len bytes to out and removes them. Returns their number. */
+size_t buffer_consume(struct buffer *b, char *out, size_t len)
 {
 	if (len > b->len)
 		len = b->len;
--- a/src/client.c
+++ b/src/client.c
@@ -7,12 +7,12 @@
 
 #include "loop.h"
 
-#define POOL_MAX	 256
-#define BODY_MAX	 (8 * 1024 * 1024)
-#define CONNECT_MS	 400L
-#define CONNECTIONS_KEPT 512L
+#define POOL_MAX	     256
+#define BODY_MAX	     (8 * 1024 * 1024)
+#define CONNECT_MS	     400L
+#define MAX_IDLE_CONNECTIONS 512L
 
-/* Who is told when an easy handle ends; hangs on CURLOPT_PRIVATE. */
+/* Callback for the end of a transfer, kept in CURLOPT_PRIVATE. */
 struct easy_owner {
 	client_done_fn fn;
 	void *owner;
@@ -23,8 +23,8 @@
 	struct loop *loop;
 	CURLM *multi;
 	struct loop_timer *timer;
-	char interface[64];
-	CURL *pool[POOL_MAX];
+	char interface[64];   /* for CURLOPT_INTERFACE, or "" */
+	CURL *pool[POOL_MAX]; /* easy handles for reuse */
 	int pooled;
 	bool destroyed;
 };
@@ -41,7 +41,7 @@
 	struct curl_slist *headers;
 };
 
-static struct easy_owner *owner_of(CURL *easy)
+static struct easy_owner *get_owner(CURL *easy)
 {
 	char *owner = NULL;
 
@@ -49,7 +49,8 @@
 	return (struct easy_owner *)(void *)owner;
 }
 
-static void collect(struct client *client)
+/* Reports the transfers that have ended to their owners. */
+static void report_finished(struct client *client)
 {
 	CURLMsg *msg;
 	int left;
@@ -61,7 +62,7 @@
 
 		if (msg->msg != CURLMSG_DONE)
 			continue;
-		owner = owner_of(easy);
+		owner = get_owner(easy);
 		curl_multi_remove_handle(client->multi, easy);
 		owner->running = false;
 		owner->fn(owner->owner, code);
@@ -79,7 +80,7 @@
 	if (events & LOOP_WRITE)
 		mask |= CURL_CSELECT_OUT;
 	curl_multi_socket_action(client->multi, fd, mask, &running);
-	collect(client);
+	report_finished(client);
 }
 
 static int socket_changed(CURL *easy, curl_socket_t fd, int what, void *ctx,
@@ -110,7 +111,7 @@
 	client->timer = NULL;
 	curl_multi_socket_action(client->multi, CURL_SOCKET_TIMEOUT, 0,
 				 &running);
-	collect(client);
+	report_finished(client);
 }
 
 static int timer_changed(CURLM *multi, long ms, void *ctx)
@@ -127,8 +128,8 @@
 }
 
 /*
- * An HTTP client on the loop. source_ip, unless NULL, is the address that its
- * connections come from, as targets that serve some callers only would see.
+ * Creates an HTTP client on the loop. source_ip, unless NULL, is the source
+ * address of its connections, for targets that accept only some callers.
  */
 struct client *client_new(struct loop *loop, const char *source_ip)
 {
@@ -148,7 +149,7 @@
 	curl_multi_setopt(client->multi, CURLMOPT_TIMERDATA, client);
 	curl_multi_setopt(client->multi, CURLMOPT_PIPELINING, CURLPIPE_NOTHING);
 	curl_multi_setopt(client->multi, CURLMOPT_MAXCONNECTS,
-			  CONNECTIONS_KEPT);
+			  MAX_IDLE_CONNECTIONS);
 	return client;
 }
 
@@ -159,30 +160,31 @@
 		curl_easy_cleanup(client->pool[i]);
 	loop_cancel(client->loop, client->timer);
 	client->timer = NULL;
+	/* This may call timer_changed, which sets a timer again. */
 	curl_multi_cleanup(client->multi);
 	loop_cancel(client->loop, client->timer);
 	free(client);
 }
 
 /*
- * An easy handle with the options that all uses share: no redirects, no
- * Expect, no proxy, no signals. fn is called once if it is started and ends
- * by itself.
+ * Returns an easy handle with the common options: HTTP only, no redirects, no
+ * proxy, no signals. fn is called once, when the transfer ends by itself; not
+ * after client_easy_release. NULL if memory runs out.
  */
 CURL *client_easy_new(struct client *client, client_done_fn fn, void *owner)
 {
 	CURL *easy = client->pooled ? client->pool[--client->pooled]
 				    : curl_easy_init();
-	struct easy_owner *own = calloc(1, sizeof(*own));
+	struct easy_owner *state = calloc(1, sizeof(*state));
 
-	if (!easy || !own) {
-		free(own);
+	if (!easy || !state) {
+		free(state);
 		return NULL;
 	}
-	own->fn = fn;
-	own->owner = owner;
+	state->fn = fn;
+	state->owner = owner;
 	curl_easy_reset(easy);
-	curl_easy_setopt(easy, CURLOPT_PRIVATE, own);
+	curl_easy_setopt(easy, CURLOPT_PRIVATE, state);
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_FOLLOWLOCATION, 0L);
@@ -196,26 +198,27 @@
 	return easy;
 }
 
+/* Starts the transfer. Returns 0 or -1. */
 int client_easy_start(struct client *client, CURL *easy)
 {
-	owner_of(easy)->running = true;
+	get_owner(easy)->running = true;
 	if (curl_multi_add_handle(client->multi, easy) == CURLM_OK)
 		return 0;
-	owner_of(easy)->running = false;
+	get_owner(easy)->running = false;
 	return -1;
 }
 
 /*
- * Give a handle back. One that is still running is ended, and its connection
- * closed: an answer that comes late then meets nobody.
+ * Returns a handle to the pool. A transfer that is still running is cancelled
+ * and its connection closed, so that a late answer is not read by another.
  */
 void client_easy_release(struct client *client, CURL *easy)
 {
-	struct easy_owner *own = owner_of(easy);
+	struct easy_owner *state = get_owner(easy);
 
-	if (own->running)
+	if (state->running)
 		curl_multi_remove_handle(client->multi, easy);
-	free(own);
+	free(state);
 	if (client->pooled < POOL_MAX && !client->destroyed)
 		client->pool[client->pooled++] = easy;
 	else
@@ -233,19 +236,19 @@
 static size_t fetch_body(char *data, size_t size, size_t n, void *ctx)
 {
 	struct fetch *fetch = ctx;
-	size_t add = size * n;
+	size_t chunk_len = size * n;
 	char *grown;
 
-	if (fetch->len + add > BODY_MAX)
+	if (fetch->len + chunk_len > BODY_MAX)
 		return 0;
-	grown = realloc(fetch->body, fetch->len + add + 1);
+	grown = realloc(fetch->body, fetch->len + chunk_len + 1);
 	if (!grown)
 		return 0;
-	memcpy(grown + fetch->len, data, add);
+	memcpy(grown + fetch->len, data, chunk_len);
 	fetch->body = grown;
-	fetch->len += add;
+	fetch->len += chunk_len;
 	fetch->body[fetch->len] = 0;
-	return add;
+	return chunk_len;
 }
 
 static size_t fetch_header(char *data, size_t size, size_t n, void *ctx)
@@ -282,8 +285,8 @@
 }
 
 /*
- * Get a URL, or post to it when post is not NULL, and hand the whole answer
- * to fn. NULL when it could not even be started.
+ * Gets a URL, or posts to it if post is not NULL, and calls fn with the whole
+ * response. timeout is in us. NULL if the transfer can't be started.
  */
 struct fetch *client_fetch(struct client *client, const char *url,
 			   const char *post, apr_time_t timeout, fetch_fn fn,
@@ -317,7 +320,7 @@
 	return fetch;
 }
 
-/* End a fetch without an answer. */
+/* Cancels a fetch; its callback is not called. */
 void client_fetch_cancel(struct client *client, struct fetch *fetch)
 {
 	(void)client;
--- a/src/client.h
+++ b/src/client.h
@@ -1,3 +1,7 @@
+/*
+ * HTTP client on the event loop, by libcurl: whole fetches into memory, and
+ * easy handles for the proxy, which streams.
+ */
 #ifndef CLIENT_H
 #define CLIENT_H
 
@@ -11,14 +15,13 @@
 struct client;
 struct fetch;
 
-/* The answer to a fetch. status 0: none, and curl says why. */
 struct fetch_response {
-	long status;
+	long status; /* 0: no response, for the reason in curl */
 	CURLcode curl;
-	const char *body;
+	const char *body; /* NUL-terminated */
 	size_t len;
-	uint64_t index;
-	const char *mac;
+	uint64_t index;	 /* X-Consul-Index, or 0 */
+	const char *mac; /* Toucanreel-Mac in hex, or "" */
 };
 
 typedef void (*fetch_fn)(void *ctx, const struct fetch_response *answer);
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -13,8 +13,8 @@
 #include "permit.h"
 #include "request.h"
 
-static void head(GString *out, const char *name, const char *type,
-		 const char *help)
+static void put_header(GString *out, const char *name, const char *type,
+		       const char *help)
 {
 	g_string_append_printf(out,
 			       "# HELP toucanreel_%s %s\n"
@@ -22,17 +22,17 @@
 			       name, help, name, type);
 }
 
-static void plain(GString *out, const char *name, const char *type,
-		  const char *help, uint64_t value)
+static void put_metric(GString *out, const char *name, const char *type,
+		       const char *help, uint64_t value)
 {
-	head(out, name, type, help);
+	put_header(out, name, type, help);
 	g_string_append_printf(out, "toucanreel_%s %" PRIu64 "\n", name, value);
 }
 
 static void by_code(GString *out, const struct proxy *proxy)
 {
-	head(out, "results_total", "counter",
-	     "Requests by their numbered result code.");
+	put_header(out, "results_total", "counter",
+		   "Requests by their numbered result code.");
 	for (int code = 0; code < 640; code++)
 		if (proxy->counts.by_code[code])
 			g_string_append_printf(
@@ -43,10 +43,10 @@
 				proxy->counts.by_code[code]);
 }
 
-static uint64_t service_value(const struct tr_service *svc, int which,
+static uint64_t service_value(const struct tr_service *svc, int column,
 			      apr_time_t now)
 {
-	switch (which) {
+	switch (column) {
 	case 0:
 		return svc->counts.requests;
 	case 1:
@@ -90,7 +90,7 @@
 	apr_time_t now = tr_clock_now(&board->clock);
 
 	for (int r = 0; r < (int)(sizeof(rows) / sizeof(rows[0])); r++) {
-		head(out, rows[r].name, rows[r].type, rows[r].help);
+		put_header(out, rows[r].name, rows[r].type, rows[r].help);
 		for (int i = 0; i < TR_MAX_SERVICES; i++) {
 			const struct tr_service *svc = &board->services[i];
 
@@ -105,61 +105,64 @@
 	}
 }
 
-static void control(GString *out, const struct operator_parts *parts)
+static void put_control_plane(GString *out, const struct operator_parts *parts)
 {
 	const struct peer_counts *link = peer_count(parts->link);
 	const struct config_counts *config = config_count(parts->config);
-	struct rusage use;
+	struct rusage usage;
 
-	getrusage(RUSAGE_SELF, &use);
-	plain(out, "peer_messages_sent_total", "counter", "Messages to peers.",
-	      link->sent);
-	plain(out, "peer_bytes_sent_total", "counter", "Bytes to peers.",
-	      link->sent_bytes);
-	plain(out, "peer_messages_received_total", "counter",
-	      "Messages of peers.", link->received);
-	plain(out, "peer_bad_mac_total", "counter",
-	      "Datagrams that failed their authentication.", link->bad_mac);
-	plain(out, "peer_undecodable_total", "counter",
-	      "Datagrams that could not be decoded.", link->undecodable);
-	plain(out, "platform_calls_total", "counter", "Calls to the platform.",
-	      config->platform_calls);
-	plain(out, "platform_failures_total", "counter", "Calls that failed.",
-	      config->platform_failures);
-	plain(out, "old_revisions_total", "counter",
-	      "Older revisions that were refused.", config->old_revisions);
-	plain(out, "memory_bytes", "gauge", "Peak resident memory.",
-	      (uint64_t)use.ru_maxrss * 1024);
-	plain(out, "cpu_milliseconds_total", "counter", "Processor time.",
-	      (uint64_t)(use.ru_utime.tv_sec + use.ru_stime.tv_sec) * 1000 +
-		      (uint64_t)(use.ru_utime.tv_usec + use.ru_stime.tv_usec) /
-			      1000);
+	getrusage(RUSAGE_SELF, &usage);
+	put_metric(out, "peer_messages_sent_total", "counter",
+		   "Messages to peers.", link->sent);
+	put_metric(out, "peer_bytes_sent_total", "counter", "Bytes to peers.",
+		   link->sent_bytes);
+	put_metric(out, "peer_messages_received_total", "counter",
+		   "Messages of peers.", link->received);
+	put_metric(out, "peer_bad_mac_total", "counter",
+		   "Datagrams that failed their authentication.",
+		   link->bad_mac);
+	put_metric(out, "peer_undecodable_total", "counter",
+		   "Datagrams that could not be decoded.", link->undecodable);
+	put_metric(out, "platform_calls_total", "counter",
+		   "Calls to the platform.", config->platform_calls);
+	put_metric(out, "platform_failures_total", "counter",
+		   "Calls that failed.", config->platform_failures);
+	put_metric(out, "old_revisions_total", "counter",
+		   "Older revisions that were refused.", config->old_revisions);
+	put_metric(out, "memory_bytes", "gauge", "Peak resident memory.",
+		   (uint64_t)usage.ru_maxrss * 1024);
+	put_metric(out, "cpu_milliseconds_total", "counter", "Processor time.",
+		   (uint64_t)(usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) *
+				   1000 +
+			   (uint64_t)(usage.ru_utime.tv_usec +
+				      usage.ru_stime.tv_usec) /
+				   1000);
 }
 
-/* All counters as Prometheus text; the caller frees it. */
+/* All metrics as Prometheus text; the caller frees it. */
 char *metrics_text(const struct operator_parts *parts)
 {
 	GString *out = g_string_new(NULL);
 	const struct proxy_counts *c = &parts->proxy->counts;
 	char *text;
 
-	plain(out, "requests_total", "counter", "Requests of callers.",
-	      c->requests);
-	plain(out, "in_flight", "gauge", "Requests in hand.",
-	      parts->proxy->in_flight);
-	plain(out, "hedged_total", "counter", "Overdue requests moved.",
-	      c->hedged);
-	plain(out, "replayed_total", "counter", "Answers given again.",
-	      c->replayed);
-	plain(out, "bytes_in_total", "counter", "Bytes of bodies taken.",
-	      c->bytes_in);
-	plain(out, "bytes_out_total", "counter", "Bytes of answers given.",
-	      c->bytes_out);
-	plain(out, "keys_remembered", "gauge", "Keys in the table.",
-	      parts->board->dispatcher.used);
+	put_metric(out, "requests_total", "counter", "Requests of callers.",
+		   c->requests);
+	put_metric(out, "in_flight", "gauge", "Requests in hand.",
+		   parts->proxy->in_flight);
+	put_metric(out, "hedged_total", "counter", "Overdue requests moved.",
+		   c->hedged);
+	put_metric(out, "replayed_total", "counter", "Answers given again.",
+		   c->replayed);
+	put_metric(out, "bytes_in_total", "counter", "Bytes of bodies taken.",
+		   c->bytes_in);
+	put_metric(out, "bytes_out_total", "counter", "Bytes of answers given.",
+		   c->bytes_out);
+	put_metric(out, "keys_remembered", "gauge", "Keys in the table.",
+		   parts->board->dispatcher.used);
 	by_code(out, parts->proxy);
 	by_service(out, parts->board);
-	control(out, parts);
+	put_control_plane(out, parts);
 	text = strdup(out->str);
 	g_string_free(out, TRUE);
 	return text;
--- a/src/metrics.h
+++ b/src/metrics.h
@@ -1,3 +1,4 @@
+/* Counters and gauges in the text format of Prometheus. */
 #ifndef METRICS_H
 #define METRICS_H
 
--- a/src/operator.c
+++ b/src/operator.c
@@ -30,14 +30,16 @@
 	struct loop *loop;
 };
 
-static const char *order_word(const struct tr_target *t, apr_time_t now)
+/* The order of the service's owner that is in force for the target. */
+static const char *order_name(const struct tr_target *t, apr_time_t now)
 {
 	if (t->order.kind == TR_ORDER_NONE || t->order.until <= now)
 		return "none";
 	return t->order.kind == TR_ORDER_EJECT ? "ejected" : "probation";
 }
 
-static const char *state_word(const struct tr_target *t, apr_time_t now)
+/* The state of the target as this VM sees it. */
+static const char *state_name(const struct tr_target *t, apr_time_t now)
 {
 	if (!t->listed)
 		return "gone";
@@ -58,7 +60,7 @@
 		"{s:s, s:s, s:s, s:s, s:b, s:f, s:i, s:i, s:I, s:I, s:I, s:I, "
 		"s:I}",
 		"name", t->name, "address", t->address, "state",
-		state_word(t, now), "order", order_word(t, now), "honoured",
+		state_name(t, now), "order", order_name(t, now), "honoured",
 		(int)(t->order.honoured && t->order.until > now), "evidence",
 		t->evidence.cell_sum, "in_flight", (int)t->in_flight,
 		"home_slots", (int)t->home_slots, "sent", (json_int_t)t->sent,
@@ -120,14 +122,14 @@
 
 static json_t *process_json(void)
 {
-	struct rusage use;
-
-	getrusage(RUSAGE_SELF, &use);
-	return json_pack("{s:f, s:I}", "cpu_s",
-			 (double)use.ru_utime.tv_sec + use.ru_stime.tv_sec +
-				 (use.ru_utime.tv_usec + use.ru_stime.tv_usec) /
-					 1e6,
-			 "max_rss_kb", (json_int_t)use.ru_maxrss);
+	struct rusage usage;
+
+	getrusage(RUSAGE_SELF, &usage);
+	return json_pack(
+		"{s:f, s:I}", "cpu_s",
+		(double)usage.ru_utime.tv_sec + usage.ru_stime.tv_sec +
+			(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec) / 1e6,
+		"max_rss_kb", (json_int_t)usage.ru_maxrss);
 }
 
 static json_t *link_json(const struct peer_link *link)
@@ -202,8 +204,9 @@
 		"process", process_json(), "services", services);
 }
 
-static enum MHD_Result answer_peer(struct operator_port *op,
-				   struct MHD_Connection *conn, json_t *json)
+/* Responds with JSON and its MAC under the fleet key; 404 if json is NULL. */
+static enum MHD_Result reply_to_peer(struct operator_port *op,
+				     struct MHD_Connection *conn, json_t *json)
 {
 	char *text = json ? json_dumps(json, JSON_COMPACT) : NULL;
 	unsigned char mac[TR_MAC_SIZE];
@@ -213,7 +216,7 @@
 
 	json_decref(json);
 	if (!text)
-		return server_answer_json(
+		return server_reply_json(
 			conn, 404,
 			json_pack("{s:s}", "error", "no such service here"));
 	tr_mac(op->parts.secret, text, strlen(text), mac);
@@ -226,24 +229,24 @@
 	return ret;
 }
 
-static enum MHD_Result answer_resource(struct operator_port *op,
-				       struct MHD_Connection *conn)
+static enum MHD_Result reply_resource(struct operator_port *op,
+				      struct MHD_Connection *conn)
 {
 	const char *service = MHD_lookup_connection_value(
 		conn, MHD_GET_ARGUMENT_KIND, "service");
 
-	return answer_peer(op, conn,
-			   service ? config_resource(op->parts.config, service)
-				   : NULL);
+	return reply_to_peer(
+		op, conn,
+		service ? config_resource(op->parts.config, service) : NULL);
 }
 
-static enum MHD_Result answer_events(struct operator_port *op,
-				     struct MHD_Connection *conn)
+static enum MHD_Result reply_events(struct operator_port *op,
+				    struct MHD_Connection *conn)
 {
 	const char *since = MHD_lookup_connection_value(
 		conn, MHD_GET_ARGUMENT_KIND, "since");
 
-	return server_answer_json(
+	return server_reply_json(
 		conn, 200,
 		events_json(op->parts.board->events, op->parts.board->vm_name,
 			    since ? strtoull(since, NULL, 10) : 0));
@@ -261,28 +264,27 @@
 	(void)con_cls;
 	*upload_len = 0;
 	if (strcmp(method, "GET") != 0)
-		return server_answer_json(
+		return server_reply_json(
 			conn, 405, json_pack("{s:s}", "error", "expected GET"));
 	if (!strcmp(url, "/status"))
-		return server_answer_json(conn, 200, status_json(op));
+		return server_reply_json(conn, 200, status_json(op));
 	if (!strcmp(url, "/metrics"))
-		return server_answer_text(conn, 200,
-					  "text/plain; version=0.0.4",
-					  metrics_text(&op->parts));
+		return server_reply_text(conn, 200, "text/plain; version=0.0.4",
+					 metrics_text(&op->parts));
 	if (!strcmp(url, "/v1/events"))
-		return answer_events(op, conn);
+		return reply_events(op, conn);
 	if (!strcmp(url, "/peer/v1/resource"))
-		return answer_resource(op, conn);
+		return reply_resource(op, conn);
 	if (!strcmp(url, "/peer/v1/vms"))
-		return answer_peer(op, conn,
-				   config_list_resource(op->parts.config));
-	return server_answer_json(
+		return reply_to_peer(op, conn,
+				     config_list_resource(op->parts.config));
+	return server_reply_json(
 		conn, 404,
 		json_pack("{s:s}", "error",
 			  "expected /status, /metrics or /v1/events"));
 }
 
-/* Serve operators and peers. NULL and err when the port is taken. */
+/* Starts to listen. Returns NULL and sets err if the address can't be bound. */
 struct operator_port *operator_new(struct loop *loop,
 				   const struct operator_parts *parts,
 				   const char *ip, uint16_t port,
--- a/src/operator.h
+++ b/src/operator.h
@@ -1,3 +1,7 @@
+/*
+ * HTTP server for operators (/status, /metrics, /v1/events) and for peers,
+ * which pull the documents and the list of VMs from it.
+ */
 #ifndef OPERATOR_H
 #define OPERATOR_H
 
@@ -12,6 +16,7 @@
 struct tr_error;
 struct tr_secret;
 
+/* What the port reports on. */
 struct operator_parts {
 	struct tr_board *board;
 	struct config *config;
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -108,7 +108,7 @@
 	r->reply.status = status;
 	reply_add_header(&r->reply, "Content-Type", 12, "application/json", 16);
 	if (text)
-		buffer_put(&r->reply.body, text, strlen(text));
+		buffer_append(&r->reply.body, text, strlen(text));
 	free(text);
 }
 
@@ -128,8 +128,7 @@
 		len = reply->length > 0 ? (size_t)reply->length : 1;
 	tr_dispatcher_finish(
 		&r->proxy->board->dispatcher, r->record, outcome, reply->status,
-		type, reply->streaming ? NULL : buffer_bytes(&reply->body),
-		len);
+		type, reply->streaming ? NULL : buffer_data(&reply->body), len);
 	r->record = TR_NO_RECORD;
 }
 
@@ -199,7 +198,7 @@
 		reply_add_header(&r->reply, "Content-Type", 12,
 				 rec->content_type, strlen(rec->content_type));
 	if (rec->answer)
-		buffer_put(&r->reply.body, rec->answer, rec->answer_len);
+		buffer_append(&r->reply.body, rec->answer, rec->answer_len);
 	r->proxy->counts.replayed++;
 	proxy_finish(r, TR_ANSWERED);
 }
@@ -215,7 +214,7 @@
 
 	if (r->body_streamed)
 		return tr_hash_pair(h, (uint64_t)r->body_length);
-	return tr_hash_pair(h, tr_hash(buffer_bytes(&r->body), r->body.len));
+	return tr_hash_pair(h, tr_hash(buffer_data(&r->body), r->body.len));
 }
 
 /*
@@ -437,7 +436,7 @@
 	if (r->state == REQUEST_DONE)
 		return len;
 	r->body_seen += len;
-	got = buffer_put(&r->body, data, len);
+	got = buffer_append(&r->body, data, len);
 	r->body_seen -= len - got;
 	r->proxy->counts.bytes_in += got;
 	if (r->body_seen > r->body_max) {
@@ -456,12 +455,12 @@
 		*len = 0;
 		return;
 	}
-	if (r->state == REQUEST_BODY && !buffer_room(&r->body)) {
+	if (r->state == REQUEST_BODY && !buffer_space(&r->body)) {
 		r->body_streamed = true;
 		proxy_dispatch(r);
 	}
 	attempt_body_ready(r);
-	if (*len && r->state != REQUEST_DONE && !buffer_room(&r->body))
+	if (*len && r->state != REQUEST_DONE && !buffer_space(&r->body))
 		request_suspend(r);
 }
 
--- a/src/reply.c
+++ b/src/reply.c
@@ -36,7 +36,7 @@
 static ssize_t read_body(void *ctx, uint64_t pos, char *buf, size_t max)
 {
 	struct request *r = ctx;
-	size_t got = buffer_take(&r->reply.body, buf, max);
+	size_t got = buffer_consume(&r->reply.body, buf, max);
 
 	(void)pos;
 	if (got) {
@@ -60,7 +60,7 @@
 	if (!reply->streaming && !head) {
 		r->proxy->counts.bytes_out += reply->body.len;
 		return MHD_create_response_from_buffer(
-			reply->body.len, (void *)buffer_bytes(&reply->body),
+			reply->body.len, (void *)buffer_data(&reply->body),
 			MHD_RESPMEM_MUST_COPY);
 	}
 	return MHD_create_response_from_callback(
--- a/src/request.c
+++ b/src/request.c
@@ -82,7 +82,7 @@
 		return;
 	r->suspended = false;
 	MHD_resume_connection(r->conn);
-	server_kick(r->proxy->server);
+	server_wake(r->proxy->server);
 }
 
 /* Value of a header of the caller's request, or NULL. */
--- a/src/server.c
+++ b/src/server.c
@@ -19,69 +19,74 @@
 
 #define CONNECTION_MEMORY (32 * 1024)
 #define LISTEN_BACKLOG	  1024
-#define LONGEST_WAIT_MS	  1000
-#define RUNS_AT_ONCE	  16
+#define MAX_WAIT_MS	  1000
+#define MAX_RUNS_PER_POLL 16
 
 struct server {
 	struct loop *loop;
 	struct MHD_Daemon *daemon;
 	int epoll_fd;
 	int listen_fd;
-	bool dirty;
+	bool run_pending; /* MHD must run before the next poll */
 	struct loop_timer *timer;
 };
 
-static void run(struct server *server)
+static void run_mhd(struct server *server)
 {
-	server->dirty = false;
+	server->run_pending = false;
 	MHD_run(server->daemon);
 }
 
-static void timed_out(void *ctx)
+static void timer_expired(void *ctx)
 {
 	struct server *server = ctx;
 
 	server->timer = NULL;
-	server->dirty = true;
+	server->run_pending = true;
 }
 
-static void ready(void *ctx, int fd, int events)
+static void epoll_ready(void *ctx, int fd, int events)
 {
 	struct server *server = ctx;
 
 	(void)fd;
 	(void)events;
-	server->dirty = true;
+	server->run_pending = true;
 }
 
+/*
+ * Runs MHD until it has nothing more to do, but a bounded number of times, so
+ * that other users of the loop get their turn, and arms the timer for MHD's
+ * next timeout.
+ */
 static void before_poll(void *ctx)
 {
 	struct server *server = ctx;
 	MHD_UNSIGNED_LONG_LONG ms;
 
-	for (int i = 0; i < RUNS_AT_ONCE; i++) {
-		if (server->dirty)
-			run(server);
+	for (int i = 0; i < MAX_RUNS_PER_POLL; i++) {
+		if (server->run_pending)
+			run_mhd(server);
 		ms = ULONG_MAX;
 		MHD_get_timeout(server->daemon, &ms);
-		if (ms > 0 && !server->dirty)
+		if (ms > 0 && !server->run_pending)
 			break;
-		server->dirty = true;
+		server->run_pending = true;
 	}
-	if (server->timer && !server->dirty)
+	if (server->timer && !server->run_pending)
 		return;
 	loop_cancel(server->loop, server->timer);
-	if (ms > LONGEST_WAIT_MS)
-		ms = LONGEST_WAIT_MS;
+	if (ms > MAX_WAIT_MS)
+		ms = MAX_WAIT_MS;
 	server->timer =
-		loop_after(server->loop, server->dirty ? 0 : TR_MSEC(ms),
-			   timed_out, server);
+		loop_after(server->loop, server->run_pending ? 0 : TR_MSEC(ms),
+			   timer_expired, server);
 }
 
-/* Have the library look at connections that were just resumed. */
-void server_kick(struct server *server)
+/* Makes MHD run soon; call after resuming a connection. */
+void server_wake(struct server *server)
 {
-	server->dirty = true;
+	server->run_pending = true;
 }
 
 static void log_message(void *ctx, const char *fmt, va_list ap)
@@ -94,7 +99,7 @@
 	log_debug("%s", text);
 }
 
-/* Serve HTTP on the loop; NULL and err when the address can't be bound. */
+/* Starts to listen. Returns NULL and sets err if the address can't be bound. */
 struct server *server_new(struct loop *loop, const struct server_options *o,
 			  struct tr_error *err)
 {
@@ -129,8 +134,8 @@
 	info = MHD_get_daemon_info(server->daemon, MHD_DAEMON_INFO_EPOLL_FD);
 	server->epoll_fd = info->epoll_fd;
 	server->listen_fd = -1;
-	server->dirty = true;
-	loop_watch(loop, server->epoll_fd, LOOP_READ, ready, server);
+	server->run_pending = true;
+	loop_watch(loop, server->epoll_fd, LOOP_READ, epoll_ready, server);
 	loop_before_poll(loop, before_poll, server);
 	return server;
 }
@@ -145,7 +150,7 @@
 	free(server);
 }
 
-/* Take no more connections; those that are open go on. */
+/* Stops accepting connections; open ones continue. */
 void server_stop_listening(struct server *server)
 {
 	if (server->listen_fd < 0)
@@ -160,9 +165,9 @@
 	return info ? info->num_connections : 0;
 }
 
-/* Answer with text that the library frees. */
-enum MHD_Result server_answer_text(struct MHD_Connection *conn, int status,
-				   const char *type, char *text)
+/* Queues a response with the text, which MHD frees. */
+enum MHD_Result server_reply_text(struct MHD_Connection *conn, int status,
+				  const char *type, char *text)
 {
 	struct MHD_Response *response;
 	enum MHD_Result ret;
@@ -177,12 +182,12 @@
 	return ret;
 }
 
-/* Answer with a JSON value, which is given up. */
-enum MHD_Result server_answer_json(struct MHD_Connection *conn, int status,
-				   void *json)
+/* Queues a response with JSON. Takes over the reference to json. */
+enum MHD_Result server_reply_json(struct MHD_Connection *conn, int status,
+				  void *json)
 {
 	char *text = json_dumps(json, JSON_INDENT(1));
 
 	json_decref(json);
-	return server_answer_text(conn, status, "application/json", text);
+	return server_reply_text(conn, status, "application/json", text);
 }
--- a/src/toucanreel_platform.c
+++ b/src/toucanreel_platform.c
@@ -263,10 +263,10 @@
 		found = true;
 	}
 	if (!found)
-		return server_answer_json(conn, 400,
-					  json_pack("{s:s}", "error",
-						    "expected mode ok, down, "
-						    "stale or slow"));
+		return server_reply_json(conn, 400,
+					 json_pack("{s:s}", "error",
+						   "expected mode ok, down, "
+						   "stale or slow"));
 	snprintf(rule.from, sizeof(rule.from), "%s", from);
 	rule.delay = TR_MSEC(
 		standin_query_number(conn, "delay_ms", DEFAULT_DELAY_MS));
@@ -276,7 +276,7 @@
 		p->rules[p->rules_count++] = rule;
 	tr_event_append(&p->events, loop_wall(NULL), TR_EVENT_FAULT, "",
 			"platform", "%s for %s", mode, *from ? from : "all");
-	return server_answer_json(conn, 200, json_pack("{s:s}", "mode", mode));
+	return server_reply_json(conn, 200, json_pack("{s:s}", "mode", mode));
 }
 
 static enum MHD_Result handler(void *ctx, struct MHD_Connection *conn,
@@ -290,7 +290,7 @@
 	(void)version;
 	call->conn = conn;
 	if (*upload_len) {
-		buffer_put(&call->body, upload, *upload_len);
+		buffer_append(&call->body, upload, *upload_len);
 		*upload_len = 0;
 		return MHD_YES;
 	}
@@ -302,25 +302,25 @@
 	if (!strncmp(url, "/v1/kv/", 7))
 		return read_values(p, call, url + 7);
 	if (!strncmp(url, "/_publish/", 10)) {
-		publish(p, url + 10, buffer_bytes(&call->body), call->body.len);
-		return server_answer_json(
+		publish(p, url + 10, buffer_data(&call->body), call->body.len);
+		return server_reply_json(
 			conn, 200,
 			json_pack("{s:I}", "revision", (json_int_t)p->index));
 	}
 	if (!strcmp(url, "/_fault"))
 		return set_fault(p, conn);
 	if (!strcmp(url, "/_calls"))
-		return server_answer_json(
+		return server_reply_json(
 			conn, 200,
 			json_pack("{s:I, s:I, s:I}", "reads",
 				  (json_int_t)p->reads, "watches",
 				  (json_int_t)p->watches, "most_a_second",
 				  (json_int_t)p->most_a_second));
 	if (!strcmp(url, "/v1/events"))
-		return server_answer_json(
+		return server_reply_json(
 			conn, 200, events_json(&p->events, "platform", 0));
-	return server_answer_json(conn, 404,
-				  json_pack("{s:s}", "error", "no such path"));
+	return server_reply_json(conn, 404,
+				 json_pack("{s:s}", "error", "no such path"));
 }
 
 static void *begin(void *ctx, const char *uri, struct MHD_Connection *conn)
@@ -369,7 +369,7 @@
 			continue;
 		call->suspended = false;
 		MHD_resume_connection(call->conn);
-		server_kick(p->server);
+		server_wake(p->server);
 	}
 	loop_after(p->standin.loop, SWEEP, sweep, p);
 }
--- a/src/toucanreel_relay.c
+++ b/src/toucanreel_relay.c
@@ -218,10 +218,10 @@
 		if (!strcmp(mode, mode_words[i]))
 			found = i;
 	if (found < 0)
-		return server_answer_json(conn, 400,
-					  json_pack("{s:s}", "error",
-						    "expected mode ok, drop, "
-						    "delay or double"));
+		return server_reply_json(conn, 400,
+					 json_pack("{s:s}", "error",
+						   "expected mode ok, drop, "
+						   "delay or double"));
 	rule.mode = (enum mode)found;
 	snprintf(rule.from, sizeof(rule.from), "%s",
 		 standin_query(conn, "from", ""));
@@ -233,7 +233,7 @@
 	tr_event_append(&relay->events, loop_wall(NULL), TR_EVENT_FAULT, "",
 			"relay", "%s from '%s' to '%s'", mode, rule.from,
 			rule.to);
-	return server_answer_json(conn, 200, json_pack("{s:s}", "mode", mode));
+	return server_reply_json(conn, 200, json_pack("{s:s}", "mode", mode));
 }
 
 static enum MHD_Result handler(void *ctx, struct MHD_Connection *conn,
@@ -254,12 +254,12 @@
 	if (!strcmp(url, "/_rule"))
 		return set_rule(relay, conn);
 	if (!strcmp(url, "/v1/events"))
-		return server_answer_json(
+		return server_reply_json(
 			conn, 200, events_json(&relay->events, "relay", 0));
-	return server_answer_json(conn, 200,
-				  json_pack("{s:I, s:I}", "passed",
-					    (json_int_t)relay->passed, "lost",
-					    (json_int_t)relay->lost));
+	return server_reply_json(conn, 200,
+				 json_pack("{s:I, s:I}", "passed",
+					   (json_int_t)relay->passed, "lost",
+					   (json_int_t)relay->lost));
 }
 
 static int run(struct relay *relay, const char *control, const char *routes)
--- a/src/toucanreel_target.c
+++ b/src/toucanreel_target.c
@@ -324,7 +324,7 @@
 	json_t *entries = json_object();
 
 	g_hash_table_foreach(t->ledger, put_entry, entries);
-	return server_answer_json(
+	return server_reply_json(
 		conn, 200,
 		json_pack("{s:s, s:I, s:o}", "target", t->name, "last_work_us",
 			  (json_int_t)t->last_work_wall, "ledger", entries));
@@ -337,8 +337,8 @@
 
 	if (!strcmp(mode, "leaving")) {
 		t->leaving = true;
-		return server_answer_json(conn, 200,
-					  json_pack("{s:s}", "mode", mode));
+		return server_reply_json(conn, 200,
+					 json_pack("{s:s}", "mode", mode));
 	}
 	if (!strcmp(mode, "restart")) {
 		t->started = now_of(t);
@@ -353,7 +353,7 @@
 		if (!strcmp(mode, fault_words[i]))
 			found = i;
 	if (found < 0)
-		return server_answer_json(
+		return server_reply_json(
 			conn, 400, json_pack("{s:s}", "error", "no such mode"));
 	t->fault = (enum fault)found;
 	t->fault_at = now_of(t);
@@ -363,29 +363,29 @@
 		 standin_query(conn, "from", "127."));
 	tr_event_append(&t->events, loop_wall(NULL), TR_EVENT_FAULT, "",
 			t->name, "%s", mode);
-	return server_answer_json(conn, 200,
-				  json_pack("{s:s, s:I}", "mode", mode, "at_us",
-					    (json_int_t)loop_wall(NULL)));
+	return server_reply_json(conn, 200,
+				 json_pack("{s:s, s:I}", "mode", mode, "at_us",
+					   (json_int_t)loop_wall(NULL)));
 }
 
 static enum MHD_Result own_page(struct target *t, struct MHD_Connection *conn,
 				const char *url)
 {
 	if (!strcmp(url, "/_health"))
-		return server_answer_json(conn, 200,
-					  json_pack("{s:s}", "health", "ok"));
+		return server_reply_json(conn, 200,
+					 json_pack("{s:s}", "health", "ok"));
 	if (!strcmp(url, "/_load"))
-		return server_answer_json(conn, 200,
-					  json_pack("{s:i, s:i, s:I}", "busy",
-						    (int)t->busy, "slots",
-						    (int)t->slots, "refused",
-						    (json_int_t)t->refused));
+		return server_reply_json(conn, 200,
+					 json_pack("{s:i, s:i, s:I}", "busy",
+						   (int)t->busy, "slots",
+						   (int)t->slots, "refused",
+						   (json_int_t)t->refused));
 	if (!strcmp(url, "/_ledger"))
 		return answer_ledger(t, conn);
 	if (!strcmp(url, "/_fault"))
 		return set_fault(t, conn);
-	return server_answer_json(conn, 404,
-				  json_pack("{s:s}", "error", "no such path"));
+	return server_reply_json(conn, 404,
+				 json_pack("{s:s}", "error", "no such path"));
 }
 
 static enum MHD_Result handler(void *ctx, struct MHD_Connection *conn,
@@ -427,8 +427,8 @@
 	if (job->ready && !job->health)
 		return finish_job(t, job);
 	if (!strcmp(url, "/v1/events"))
-		return server_answer_json(conn, 200,
-					  events_json(&t->events, t->name, 0));
+		return server_reply_json(conn, 200,
+					 events_json(&t->events, t->name, 0));
 	if (!strncmp(url, "/_", 2))
 		return own_page(t, conn, url);
 	return start_job(t, job);
@@ -508,7 +508,7 @@
 		job->ready = true;
 		job->suspended = false;
 		MHD_resume_connection(job->conn);
-		server_kick(t->server);
+		server_wake(t->server);
 	}
 	loop_after(t->standin.loop, SWEEP / 5, sweep, t);
 }
--- a/src/toucanreeld.c
+++ b/src/toucanreeld.c
@@ -1,3 +1,4 @@
+/* The daemon of one VM: sets up the modules and runs the loop. */
 #include <apr_general.h>
 #include <argtable2.h>
 #include <arpa/inet.h>
@@ -27,13 +28,13 @@
 #define LOG_MODULE "main"
 #include "log.h"
 
-#define STEP_PERIOD   TR_MSEC(50)
-#define SWEEP_PERIOD  TR_MSEC(10)
-#define CONFIG_PERIOD TR_MSEC(100)
-#define STOP_CHECK    TR_MSEC(200)
-#define SWEEP_RECORDS 256
-#define MEGABYTE      (1024 * 1024)
-#define EXIT_USAGE    2
+#define STEP_PERIOD	   TR_MSEC(50)
+#define SWEEP_PERIOD	   TR_MSEC(10)
+#define CONFIG_PERIOD	   TR_MSEC(100)
+#define DRAIN_CHECK_PERIOD TR_MSEC(200)
+#define SWEEP_RECORDS	   256
+#define MEGABYTE	   (1024 * 1024)
+#define EXIT_USAGE	   2
 
 struct daemon {
 	struct loop *loop;
@@ -47,11 +48,11 @@
 	struct peer_link *link;
 	struct health *health;
 	struct operator_port *operator_port;
-	apr_time_t stop_at;
-	apr_time_t quiet_since;
+	apr_time_t stop_at; /* once leaving, the latest end of the process */
+	apr_time_t last_busy_at; /* when a request was last in flight */
 };
 
-static void step(void *ctx)
+static void step_services(void *ctx)
 {
 	struct daemon *d = ctx;
 	apr_time_t now = tr_clock_now(&d->board->clock);
@@ -62,15 +63,15 @@
 	peer_step(d->link);
 	health_step(d->health);
 	tr_dispatcher_sweep(&d->board->dispatcher, now, SWEEP_RECORDS);
-	loop_after(d->loop, STEP_PERIOD, step, d);
+	loop_after(d->loop, STEP_PERIOD, step_services, d);
 }
 
-static void sweep(void *ctx)
+static void sweep_requests(void *ctx)
 {
 	struct daemon *d = ctx;
 
 	proxy_sweep(d->proxy);
-	loop_after(d->loop, SWEEP_PERIOD, sweep, d);
+	loop_after(d->loop, SWEEP_PERIOD, sweep_requests, d);
 }
 
 static void step_config(void *ctx)
@@ -81,8 +82,11 @@
 	loop_after(d->loop, CONFIG_PERIOD, step_config, d);
 }
 
-/* A peer speaks of a service of whose cell it takes this VM to be part. */
-static void heard(void *ctx, const struct tr_gossip *msg)
+/*
+ * Handles a peer's message about a service. The peer takes this VM for part of
+ * the service's cell, so its document is fetched if it is not here yet.
+ */
+static void peer_message_received(void *ctx, const struct tr_gossip *msg)
 {
 	struct daemon *d = ctx;
 	struct tr_service *svc = config_attend(d->config, msg->service);
@@ -95,23 +99,24 @@
 	config_peer_has(d->config, svc, peer, msg->list_revision);
 }
 
-static void check_stopped(void *ctx)
+/* Ends the loop once no caller is connected, or at the time limit. */
+static void check_drained(void *ctx)
 {
 	struct daemon *d = ctx;
 	apr_time_t now = tr_clock_now(&d->board->clock);
 
 	if (d->proxy->in_flight)
-		d->quiet_since = now;
+		d->last_busy_at = now;
 	if (now >= d->stop_at ||
 	    (!server_connections(d->proxy->server) && !d->proxy->in_flight)) {
 		loop_stop(d->loop);
 		return;
 	}
-	loop_after(d->loop, STOP_CHECK, check_stopped, d);
+	loop_after(d->loop, DRAIN_CHECK_PERIOD, check_drained, d);
 }
 
-/* How long callers may still hold an address of this VM. */
-static apr_time_t longest_kept(const struct daemon *d)
+/* The longest time for which callers may keep this VM's address, in us. */
+static apr_time_t max_address_lifetime(const struct daemon *d)
 {
 	apr_time_t most = 0;
 
@@ -128,34 +133,35 @@
 }
 
 /*
- * First signal: a lame duck. Lookups no longer name this VM, what is running
- * and what still comes from callers that keep its address is served, up to a
- * bound. Second signal: end now.
+ * On the first signal the VM drains: lookups omit it, while pending requests
+ * and those of callers that keep its address are still served, for a limited
+ * time. A second signal ends the process at once.
  */
 static void on_signal(void *ctx)
 {
 	struct daemon *d = ctx;
 	apr_time_t now = tr_clock_now(&d->board->clock);
 	apr_time_t bound = TR_SEC(d->settings->stop_after_s);
-	apr_time_t kept = longest_kept(d);
+	apr_time_t lifetime = max_address_lifetime(d);
 
 	if (d->board->leaving) {
 		loop_stop(d->loop);
 		return;
 	}
 	d->board->leaving = true;
-	d->stop_at = now + (kept < bound ? kept : bound);
+	d->stop_at = now + (lifetime < bound ? lifetime : bound);
 	for (int i = 0; i < TR_MAX_SERVICES; i++)
+		/* Tell the peers without waiting for the next period. */
 		for (unsigned p = 0; p < d->board->services[i].peers_count; p++)
 			d->board->services[i].peers[p].last_sent_at = 0;
 	tr_board_event(d->board, TR_EVENT_STOP, "", d->board->vm_name,
 		       "leaving, for at most %ld s",
 		       (long)((d->stop_at - now) / APR_USEC_PER_SEC));
-	log_info("leaving");
-	loop_after(d->loop, STOP_CHECK, check_stopped, d);
+	log_info("shutting down: draining connections");
+	loop_after(d->loop, DRAIN_CHECK_PERIOD, check_drained, d);
 }
 
-static int make_board(struct daemon *d)
+static int init_board(struct daemon *d)
 {
 	struct settings *s = d->settings;
 	struct tr_board *b = calloc(1, sizeof(*b));
@@ -212,7 +218,7 @@
 	d->health = health_new(d->client, d->board);
 	config_on_change(d->config, proxy_config_changed, d->proxy);
 	d->link = peer_open(d->loop, d->board, &d->secret, s->address,
-			    s->peer_port, heard, d, err);
+			    s->peer_port, peer_message_received, d, err);
 	if (!d->link)
 		return -1;
 	parts = (struct operator_parts){ d->board, d->config,  d->proxy,
@@ -243,7 +249,7 @@
 	settings_free(d->settings);
 }
 
-static void say(const struct tr_error *err)
+static void print_error(const struct tr_error *err)
 {
 	char text[512];
 
@@ -259,7 +265,7 @@
 
 	d.settings = settings_load(path, &err);
 	if (!d.settings || settings_secret(d.settings, &d.secret, &err)) {
-		say(&err);
+		print_error(&err);
 		close_all(&d);
 		return EXIT_USAGE;
 	}
@@ -272,8 +278,8 @@
 	log_setup((enum log_level)d.settings->log_level, d.settings->log_json,
 		  d.settings->name);
 	d.loop = loop_new(pool);
-	if (!d.loop || make_board(&d) || open_ports(&d, &err)) {
-		say(&err);
+	if (!d.loop || init_board(&d) || open_ports(&d, &err)) {
+		print_error(&err);
 	} else {
 		loop_on_signals(d.loop, on_signal, &d);
 		tr_board_event(d.board, TR_EVENT_START, "", d.board->vm_name,
@@ -281,10 +287,10 @@
 		log_info("serving on %s:%u", d.settings->address,
 			 d.settings->port);
 		step_config(&d);
-		step(&d);
-		sweep(&d);
+		step_services(&d);
+		sweep_requests(&d);
 		loop_run(d.loop);
-		log_info("ended");
+		log_info("stopped");
 		code = EXIT_SUCCESS;
 	}
 	close_all(&d);
@@ -295,10 +301,11 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
-	struct arg_lit *version = arg_lit0(NULL, "version", "say which");
+	struct arg_lit *help = arg_lit0("h", "help", "print this help");
+	struct arg_lit *version =
+		arg_lit0(NULL, "version", "print the version");
 	struct arg_lit *check =
-		arg_lit0(NULL, "check", "check the settings and end");
+		arg_lit0(NULL, "check", "check the settings and exit");
 	struct arg_file *file = arg_file0("s", "settings", "FILE",
 					  "settings of this VM, in YAML");
 	struct arg_end *end = arg_end(8);
