--- a/src/standin.c
+++ b/src/standin.c
@@ -19,7 +19,7 @@
 	loop_stop(s->loop);
 }
 
-/* Set up the loop, the signals and the libraries. 0 or -1. */
+/* Sets up the libraries, the loop and signal handling. Returns 0 or -1. */
 int standin_init(struct standin *s, const char *name)
 {
 	if (sodium_init() < 0 || apr_initialize() != APR_SUCCESS ||
@@ -49,8 +49,8 @@
 	apr_terminate();
 }
 
-/* Read IP:PORT. 0 or -1. */
-int standin_address(const char *text, char ip[46], uint16_t *port)
+/* Parses IP:PORT, IPv4 only. Returns 0 or -1. */
+int standin_parse_address(const char *text, char ip[46], uint16_t *port)
 {
 	const char *colon = strrchr(text, ':');
 	unsigned char raw[4];
@@ -63,24 +63,25 @@
 	return inet_pton(AF_INET, ip, raw) == 1 ? 0 : -1;
 }
 
+/* Value of a query argument, or the default. */
 const char *standin_query(struct MHD_Connection *conn, const char *name,
-			  const char *otherwise)
+			  const char *fallback)
 {
 	const char *value =
 		MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, name);
 
-	return value ? value : otherwise;
+	return value ? value : fallback;
 }
 
 long standin_query_number(struct MHD_Connection *conn, const char *name,
-			  long otherwise)
+			  long fallback)
 {
 	const char *value = standin_query(conn, name, NULL);
 
-	return value ? strtol(value, NULL, 10) : otherwise;
+	return value ? strtol(value, NULL, 10) : fallback;
 }
 
-/* The address that the connection comes from. */
+/* Writes the IPv4 address of the connection's client to ip, "" if unknown. */
 void standin_peer_ip(struct MHD_Connection *conn, char ip[46])
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
--- a/src/toucanreel_platform.c
+++ b/src/toucanreel_platform.c
@@ -1,8 +1,8 @@
 /*
- * Stand-in for the platform: a service that can be read and watched, by the
- * published key-value read interface of Consul (recurse, blocking queries with
- * index and wait). Values change by PUT /_publish/KEY, which only the bench
- * uses. Faults by POST /_fault?mode=ok|down|stale|slow&from=IP-PREFIX.
+ * Stand-in for the platform: a key-value store with the read API of Consul
+ * (recurse, and blocking queries with index and wait). Test scripts publish
+ * values by PUT /_publish/KEY and inject faults by
+ * POST /_fault?mode=ok|down|stale|slow&from=IP-PREFIX.
  */
 #include <argtable2.h>
 #include <glib.h>
@@ -22,14 +22,14 @@
 #include "server.h"
 #include "standin.h"
 
-#define VALUE_MAX	 (1024 * 1024)
-#define LONGEST_WAIT	 TR_SEC(60)
-#define CONNECTIONS	 8192
-#define SWEEP		 TR_MSEC(20)
-#define MOST_RULES	 64
-#define DEFAULT_DELAY_MS 2000
+#define VALUE_MAX	  (1024 * 1024)
+#define MAX_BLOCKING_WAIT TR_SEC(60)
+#define CONNECTION_LIMIT  8192
+#define SWEEP_INTERVAL	  TR_MSEC(20)
+#define MAX_RULES	  64
+#define DEFAULT_DELAY_MS  2000
 
-/* One published version of a value; older ones stay for stale readers. */
+/* One published version of a value. Old ones are kept for FAULT_STALE. */
 struct version {
 	char *key;
 	char *text;
@@ -44,15 +44,17 @@
 	FAULT_SLOW,
 };
 
-static const char *const fault_words[] = { "ok", "down", "stale", "slow" };
+static const char *const fault_names[] = { "ok", "down", "stale", "slow" };
 
+/* A fault for clients whose address begins with from. The last match counts. */
 struct rule {
 	char from[46];
 	enum fault_mode mode;
-	uint64_t stale_index;
+	uint64_t stale_index; /* newer versions are hidden */
 	apr_time_t delay;
 };
 
+/* One request of a client. */
 struct call {
 	struct MHD_Connection *conn;
 	struct call *next;
@@ -60,11 +62,11 @@
 	char key[256];
 	bool recurse;
 	bool suspended;
-	bool counted;
-	uint64_t index;
+	bool counted;	/* in the statistics */
+	uint64_t index; /* of a blocking query, 0: not blocking */
 	apr_time_t began;
-	apr_time_t until;
-	uint64_t seen_limit;
+	apr_time_t until; /* when a suspended call is answered at the latest */
+	uint64_t visible_index; /* the newest index that the client may see */
 };
 
 struct platform {
@@ -72,18 +74,18 @@
 	struct server *server;
 	GPtrArray *versions;
 	uint64_t index;
-	struct rule rules[MOST_RULES];
+	struct rule rules[MAX_RULES];
 	unsigned rules_count;
 	struct call *calls;
 	struct tr_event_ring events;
 	uint64_t reads;
-	uint64_t watches;
-	uint64_t second;
-	uint64_t this_second;
-	uint64_t most_a_second;
+	uint64_t watches;	    /* blocking queries */
+	uint64_t second;	    /* the second that is being counted */
+	uint64_t calls_this_second; /* calls in that second */
+	uint64_t max_per_second;    /* the most calls in any second */
 };
 
-static struct platform the_platform;
+static struct platform platform_state;
 
 static apr_time_t now_of(const struct platform *p)
 {
@@ -106,7 +108,7 @@
 			"published, revision %lu", (unsigned long)v->index);
 }
 
-static const struct rule *rule_for(const struct platform *p, const char *ip)
+static const struct rule *find_rule(const struct platform *p, const char *ip)
 {
 	for (unsigned i = p->rules_count; i-- > 0;) {
 		const struct rule *rule = &p->rules[i];
@@ -124,8 +126,8 @@
 	return !strcmp(key, call->key);
 }
 
-static const struct version *newest(const struct platform *p, const char *key,
-				    uint64_t limit)
+static const struct version *latest_version(const struct platform *p,
+					    const char *key, uint64_t limit)
 {
 	for (guint i = p->versions->len; i-- > 0;) {
 		const struct version *v = g_ptr_array_index(p->versions, i);
@@ -136,20 +138,20 @@
 	return NULL;
 }
 
-static uint64_t newest_index(const struct platform *p, const struct call *call)
+static uint64_t latest_index(const struct platform *p, const struct call *call)
 {
-	uint64_t most = 1;
+	uint64_t max_index = 1;
 
 	for (guint i = 0; i < p->versions->len; i++) {
 		const struct version *v = g_ptr_array_index(p->versions, i);
 
-		if (v->index <= call->seen_limit && matches(call, v->key))
-			most = v->index > most ? v->index : most;
+		if (v->index <= call->visible_index && matches(call, v->key))
+			max_index = v->index > max_index ? v->index : max_index;
 	}
-	return most;
+	return max_index;
 }
 
-static json_t *row(const struct version *v)
+static json_t *version_json(const struct version *v)
 {
 	size_t size = sodium_base64_encoded_len(v->len,
 						sodium_base64_VARIANT_ORIGINAL);
@@ -162,7 +164,7 @@
 			 (json_int_t)v->index);
 }
 
-static enum MHD_Result answer_rows(struct platform *p, struct call *call)
+static enum MHD_Result answer_values(struct platform *p, struct call *call)
 {
 	json_t *rows = json_array();
 	char index[32];
@@ -175,8 +177,8 @@
 		const struct version *v = g_ptr_array_index(p->versions, i);
 
 		if (matches(call, v->key) &&
-		    v == newest(p, v->key, call->seen_limit))
-			json_array_append_new(rows, row(v));
+		    v == latest_version(p, v->key, call->visible_index))
+			json_array_append_new(rows, version_json(v));
 	}
 	status = json_array_size(rows) ? 200 : 404;
 	text = json_dumps(rows, JSON_COMPACT);
@@ -184,7 +186,7 @@
 	response = MHD_create_response_from_buffer(strlen(text), text,
 						   MHD_RESPMEM_MUST_FREE);
 	snprintf(index, sizeof(index), "%lu",
-		 (unsigned long)newest_index(p, call));
+		 (unsigned long)latest_index(p, call));
 	MHD_add_response_header(response, "X-Consul-Index", index);
 	MHD_add_response_header(response, "Content-Type", "application/json");
 	ret = MHD_queue_response(call->conn, status, response);
@@ -204,20 +206,21 @@
 	else
 		p->reads++;
 	if (second != p->second)
-		p->this_second = 0;
+		p->calls_this_second = 0;
 	p->second = second;
-	if (++p->this_second > p->most_a_second)
-		p->most_a_second = p->this_second;
+	if (++p->calls_this_second > p->max_per_second)
+		p->max_per_second = p->calls_this_second;
 }
 
-static enum MHD_Result hold(struct call *call)
+/* Suspends the call; sweep resumes it, and the handler runs again. */
+static enum MHD_Result suspend_call(struct call *call)
 {
 	call->suspended = true;
 	MHD_suspend_connection(call->conn);
 	return MHD_YES;
 }
 
-static enum MHD_Result read_values(struct platform *p, struct call *call,
+static enum MHD_Result answer_read(struct platform *p, struct call *call,
 				   const char *url)
 {
 	const char *wait = standin_query(call->conn, "wait", "10s");
@@ -226,26 +229,27 @@
 
 	count_call(p, call);
 	standin_peer_ip(call->conn, ip);
-	rule = rule_for(p, ip);
+	rule = find_rule(p, ip);
 	if (rule && rule->mode == FAULT_DOWN)
 		return MHD_NO;
 	snprintf(call->key, sizeof(call->key), "%s", url);
 	call->recurse = standin_query(call->conn, "recurse", NULL) != NULL;
 	call->index = (uint64_t)standin_query_number(call->conn, "index", 0);
-	call->seen_limit = rule && rule->mode == FAULT_STALE ? rule->stale_index
-							     : UINT64_MAX;
+	call->visible_index = rule && rule->mode == FAULT_STALE
+				      ? rule->stale_index
+				      : UINT64_MAX;
 	if (rule && rule->mode == FAULT_SLOW &&
 	    now_of(p) - call->began < rule->delay) {
 		call->until = call->began + rule->delay;
-		return hold(call);
+		return suspend_call(call);
 	}
-	if (call->index && newest_index(p, call) <= call->index &&
+	if (call->index && latest_index(p, call) <= call->index &&
 	    now_of(p) - call->began < TR_SEC(strtol(wait, NULL, 10)) &&
-	    now_of(p) - call->began < LONGEST_WAIT) {
+	    now_of(p) - call->began < MAX_BLOCKING_WAIT) {
 		call->until = call->began + TR_SEC(strtol(wait, NULL, 10));
-		return hold(call);
+		return suspend_call(call);
 	}
-	return answer_rows(p, call);
+	return answer_values(p, call);
 }
 
 static enum MHD_Result set_fault(struct platform *p,
@@ -257,7 +261,7 @@
 	bool found = false;
 
 	for (int i = 0; i <= FAULT_SLOW; i++) {
-		if (strcmp(mode, fault_words[i]) != 0)
+		if (strcmp(mode, fault_names[i]) != 0)
 			continue;
 		rule.mode = (enum fault_mode)i;
 		found = true;
@@ -272,7 +276,7 @@
 		standin_query_number(conn, "delay_ms", DEFAULT_DELAY_MS));
 	if (rule.mode == FAULT_OK && !*from)
 		p->rules_count = 0;
-	else if (p->rules_count < MOST_RULES)
+	else if (p->rules_count < MAX_RULES)
 		p->rules[p->rules_count++] = rule;
 	tr_event_append(&p->events, loop_wall(NULL), TR_EVENT_FAULT, "",
 			"platform", "%s for %s", mode, *from ? from : "all");
@@ -300,7 +304,7 @@
 			return MHD_YES;
 	}
 	if (!strncmp(url, "/v1/kv/", 7))
-		return read_values(p, call, url + 7);
+		return answer_read(p, call, url + 7);
 	if (!strncmp(url, "/_publish/", 10)) {
 		publish(p, url + 10, buffer_data(&call->body), call->body.len);
 		return server_reply_json(
@@ -315,7 +319,7 @@
 			json_pack("{s:I, s:I, s:I}", "reads",
 				  (json_int_t)p->reads, "watches",
 				  (json_int_t)p->watches, "most_a_second",
-				  (json_int_t)p->most_a_second));
+				  (json_int_t)p->max_per_second));
 	if (!strcmp(url, "/v1/events"))
 		return server_reply_json(
 			conn, 200, events_json(&p->events, "platform", 0));
@@ -356,6 +360,7 @@
 	*con_cls = NULL;
 }
 
+/* Resumes calls whose wait is over or whose value has changed. */
 static void sweep(void *ctx)
 {
 	struct platform *p = ctx;
@@ -365,15 +370,16 @@
 		if (!call->suspended)
 			continue;
 		if (now < call->until &&
-		    !(call->index && newest_index(p, call) > call->index))
+		    !(call->index && latest_index(p, call) > call->index))
 			continue;
 		call->suspended = false;
 		MHD_resume_connection(call->conn);
 		server_wake(p->server);
 	}
-	loop_after(p->standin.loop, SWEEP, sweep, p);
+	loop_after(p->standin.loop, SWEEP_INTERVAL, sweep, p);
 }
 
+/* Publishes all files below a directory, by their relative path as key. */
 static void load_tree(struct platform *p, const char *root, const char *below)
 {
 	auto_free char *path = g_build_filename(root, below, NULL);
@@ -404,7 +410,7 @@
 	struct tr_error err = { 0 };
 	struct server_options options = {
 		.field = "listen",
-		.connections = CONNECTIONS,
+		.connections = CONNECTION_LIMIT,
 		.idle_s = 0,
 		.handler = handler,
 		.completed = completed,
@@ -414,7 +420,7 @@
 	char ip[46];
 	char text[512];
 
-	if (standin_address(listen, ip, &options.port)) {
+	if (standin_parse_address(listen, ip, &options.port)) {
 		fprintf(stderr,
 			"toucanreel-platform: --listen: '%s': "
 			"expected IP:PORT\n",
@@ -444,11 +450,11 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "print this help");
 	struct arg_str *listen =
-		arg_str1("l", "listen", "IP:PORT", "where to answer");
-	struct arg_file *values =
-		arg_file0("v", "values", "DIR", "values to publish at first");
+		arg_str1("l", "listen", "IP:PORT", "address to listen on");
+	struct arg_file *values = arg_file0("v", "values", "DIR",
+					    "values to publish at the start");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, listen, values, end };
 	int code = 2;
@@ -461,10 +467,10 @@
 		code = 0;
 	} else if (errors) {
 		arg_print_errors(stderr, end, "toucanreel-platform");
-	} else if (!standin_init(&the_platform.standin, "platform")) {
-		code = run(&the_platform, listen->sval[0],
+	} else if (!standin_init(&platform_state.standin, "platform")) {
+		code = run(&platform_state, listen->sval[0],
 			   values->count ? values->filename[0] : NULL);
-		standin_destroy(&the_platform.standin);
+		standin_destroy(&platform_state.standin);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/toucanreel_relay.c
+++ b/src/toucanreel_relay.c
@@ -1,8 +1,8 @@
 /*
- * A relay for the datagrams between VMs, which loses, delays, doubles and
- * overtakes them by rule, also in one direction only. Each VM is reached by a
- * port of its own; VMs send from their own address, so the relay knows both
- * ends. Routes come from a file, "PORT IP:PORT" a line; rules by
+ * UDP relay between VMs that drops, delays, reorders and duplicates datagrams
+ * by rule, also in one direction only. Each VM has its own port on the relay,
+ * and VMs send from their own address, so source and destination are known.
+ * Routes are read from a file with lines "PORT IP:PORT"; rules are set by
  * POST /_rule?from=IP-PREFIX&to=IP-PREFIX&mode=drop|delay|double|ok&ms=N.
  */
 #include <argtable2.h>
@@ -22,41 +22,43 @@
 #include "server.h"
 #include "standin.h"
 
-#define MOST_ROUTES	1024
-#define MOST_RULES	64
-#define DATAGRAM	2048
-#define CONTROL_CALLERS 64
+#define MAX_ROUTES	    1024
+#define MAX_RULES	    64
+#define MAX_DATAGRAM	    2048
+#define MAX_CONTROL_CALLERS 64
 
 enum mode {
 	MODE_OK,
 	MODE_DROP,
 	MODE_DELAY,
 	MODE_DOUBLE,
-	MODES,
+	MODE_COUNT,
 };
 
-static const char *const mode_words[MODES] = { "ok", "drop", "delay",
-					       "double" };
+static const char *const mode_names[MODE_COUNT] = { "ok", "drop", "delay",
+						    "double" };
 
+/* A port of the relay and the VM to which it leads. */
 struct route {
 	int fd;
 	struct sockaddr_in to;
 	char to_ip[46];
 };
 
+/* Addresses are matched by prefix; the last rule that matches counts. */
 struct rule {
 	char from[46];
 	char to[46];
 	enum mode mode;
-	uint32_t ms;
+	uint32_t ms; /* MODE_DELAY: the longest delay */
 };
 
 struct relay {
 	struct standin standin;
 	struct server *server;
-	struct route routes[MOST_ROUTES];
+	struct route routes[MAX_ROUTES];
 	unsigned routes_count;
-	struct rule rules[MOST_RULES];
+	struct rule rules[MAX_RULES];
 	unsigned rules_count;
 	struct tr_random random;
 	struct tr_event_ring events;
@@ -64,17 +66,18 @@
 	uint64_t lost;
 };
 
-struct late {
+/* A datagram to be sent later. */
+struct delayed {
 	int fd;
 	struct sockaddr_in to;
 	size_t len;
-	char data[DATAGRAM];
+	char data[MAX_DATAGRAM];
 };
 
-static struct relay the_relay;
+static struct relay relay_state;
 
-static const struct rule *rule_for(const struct relay *relay, const char *from,
-				   const char *to)
+static const struct rule *find_rule(const struct relay *relay, const char *from,
+				    const char *to)
 {
 	for (unsigned i = relay->rules_count; i-- > 0;) {
 		const struct rule *rule = &relay->rules[i];
@@ -86,45 +89,45 @@
 	return NULL;
 }
 
-static void pass(int fd, const struct sockaddr_in *to, const char *data,
-		 size_t len)
+static void send_datagram(int fd, const struct sockaddr_in *to,
+			  const char *data, size_t len)
 {
 	if (sendto(fd, data, len, MSG_DONTWAIT, (const struct sockaddr *)to,
 		   sizeof(*to)) < 0)
-		the_relay.lost++;
+		relay_state.lost++;
 	else
-		the_relay.passed++;
+		relay_state.passed++;
 }
 
-static void pass_late(void *ctx)
+static void send_delayed(void *ctx)
 {
-	struct late *late = ctx;
+	struct delayed *delayed = ctx;
 
-	pass(late->fd, &late->to, late->data, late->len);
-	free(late);
+	send_datagram(delayed->fd, &delayed->to, delayed->data, delayed->len);
+	free(delayed);
 }
 
-/* Each datagram is late by a time of its own, so that they overtake. */
+/* Delays each datagram by a random time up to ms, which reorders them. */
 static void delay(struct relay *relay, const struct route *route,
 		  const char *data, size_t len, uint32_t ms)
 {
-	struct late *late = malloc(sizeof(*late));
+	struct delayed *delayed = malloc(sizeof(*delayed));
 
-	if (!late)
+	if (!delayed)
 		return;
-	late->fd = route->fd;
-	late->to = route->to;
-	late->len = len;
-	memcpy(late->data, data, len);
+	delayed->fd = route->fd;
+	delayed->to = route->to;
+	delayed->len = len;
+	memcpy(delayed->data, data, len);
 	loop_after(relay->standin.loop,
-		   TR_MSEC(tr_random_below(&relay->random, ms + 1)), pass_late,
-		   late);
+		   TR_MSEC(tr_random_below(&relay->random, ms + 1)),
+		   send_delayed, delayed);
 }
 
-static void relay_one(struct relay *relay, const struct route *route,
-		      const char *from, const char *data, size_t len)
+static void relay_datagram(struct relay *relay, const struct route *route,
+			   const char *from, const char *data, size_t len)
 {
-	const struct rule *rule = rule_for(relay, from, route->to_ip);
+	const struct rule *rule = find_rule(relay, from, route->to_ip);
 
 	switch (rule ? rule->mode : MODE_OK) {
 	case MODE_DROP:
@@ -134,20 +137,20 @@
 		delay(relay, route, data, len, rule->ms);
 		return;
 	case MODE_DOUBLE:
-		pass(route->fd, &route->to, data, len);
+		send_datagram(route->fd, &route->to, data, len);
 		break;
 	default:
 		break;
 	}
-	pass(route->fd, &route->to, data, len);
+	send_datagram(route->fd, &route->to, data, len);
 }
 
-static void readable(void *ctx, int fd, int events)
+static void datagram_received(void *ctx, int fd, int events)
 {
 	const struct route *route = ctx;
 	struct sockaddr_in from;
 	socklen_t from_len = sizeof(from);
-	char data[DATAGRAM];
+	char data[MAX_DATAGRAM];
 	char ip[46];
 	ssize_t len;
 
@@ -157,7 +160,7 @@
 	if (len <= 0)
 		return;
 	inet_ntop(AF_INET, &from.sin_addr, ip, sizeof(ip));
-	relay_one(&the_relay, route, ip, data, (size_t)len);
+	relay_datagram(&relay_state, route, ip, data, (size_t)len);
 }
 
 static int add_route(struct relay *relay, const char *ip, unsigned port,
@@ -168,8 +171,8 @@
 				    .sin_port = htons((uint16_t)port) };
 	uint16_t to_port;
 
-	if (relay->routes_count == MOST_ROUTES ||
-	    standin_address(to, route->to_ip, &to_port))
+	if (relay->routes_count == MAX_ROUTES ||
+	    standin_parse_address(to, route->to_ip, &to_port))
 		return -1;
 	inet_pton(AF_INET, ip, &addr.sin_addr);
 	route->to.sin_family = AF_INET;
@@ -179,11 +182,13 @@
 	if (route->fd < 0 ||
 	    bind(route->fd, (struct sockaddr *)&addr, sizeof(addr)))
 		return -1;
-	loop_watch(relay->standin.loop, route->fd, LOOP_READ, readable, route);
+	loop_watch(relay->standin.loop, route->fd, LOOP_READ, datagram_received,
+		   route);
 	relay->routes_count++;
 	return 0;
 }
 
+/* Reads the routes file and binds a socket for each route. 0 or -1. */
 static int read_routes(struct relay *relay, const char *ip, const char *path)
 {
 	FILE *f = fopen(path, "r");
@@ -214,8 +219,8 @@
 								  100) };
 	int found = -1;
 
-	for (int i = 0; i < MODES; i++)
-		if (!strcmp(mode, mode_words[i]))
+	for (int i = 0; i < MODE_COUNT; i++)
+		if (!strcmp(mode, mode_names[i]))
 			found = i;
 	if (found < 0)
 		return server_reply_json(conn, 400,
@@ -228,7 +233,7 @@
 	snprintf(rule.to, sizeof(rule.to), "%s", standin_query(conn, "to", ""));
 	if (rule.mode == MODE_OK && !*rule.from && !*rule.to)
 		relay->rules_count = 0;
-	else if (relay->rules_count < MOST_RULES)
+	else if (relay->rules_count < MAX_RULES)
 		relay->rules[relay->rules_count++] = rule;
 	tr_event_append(&relay->events, loop_wall(NULL), TR_EVENT_FAULT, "",
 			"relay", "%s from '%s' to '%s'", mode, rule.from,
@@ -267,14 +272,14 @@
 	struct tr_error err = { 0 };
 	struct server_options options = {
 		.field = "control",
-		.connections = CONTROL_CALLERS,
+		.connections = MAX_CONTROL_CALLERS,
 		.handler = handler,
 		.ctx = relay,
 	};
 	char ip[46];
 	char text[512];
 
-	if (standin_address(control, ip, &options.port)) {
+	if (standin_parse_address(control, ip, &options.port)) {
 		fprintf(stderr,
 			"toucanreel-relay: --control: '%s': expected "
 			"IP:PORT\n",
@@ -298,11 +303,11 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
-	struct arg_str *control =
-		arg_str1("c", "control", "IP:PORT", "where rules are taken");
-	struct arg_file *routes =
-		arg_file1("r", "routes", "FILE", "PORT IP:PORT, a line each");
+	struct arg_lit *help = arg_lit0("h", "help", "print this help");
+	struct arg_str *control = arg_str1("c", "control", "IP:PORT",
+					   "address for HTTP control calls");
+	struct arg_file *routes = arg_file1("r", "routes", "FILE",
+					    "routes, a line PORT IP:PORT each");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, control, routes, end };
 	int code = 2;
@@ -315,9 +320,9 @@
 		code = 0;
 	} else if (errors) {
 		arg_print_errors(stderr, end, "toucanreel-relay");
-	} else if (!standin_init(&the_relay.standin, "relay")) {
-		code = run(&the_relay, control->sval[0], routes->filename[0]);
-		standin_destroy(&the_relay.standin);
+	} else if (!standin_init(&relay_state.standin, "relay")) {
+		code = run(&relay_state, control->sval[0], routes->filename[0]);
+		standin_destroy(&relay_state.standin);
 	}
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
 	return code;
--- a/src/toucanreel_target.c
+++ b/src/toucanreel_target.c
@@ -1,8 +1,9 @@
 /*
- * Stand-in target: a server with a few slots that starts cold, drains, sheds,
- * and takes deadlines and cancellation; with gray faults on request. It keeps
- * a ledger of every request that it began to run, by X-Request-Id, which is
- * what claims of not-run and at-most-once are checked against.
+ * Stand-in target: a server with a few slots that is slow after a start, sheds
+ * load, drains, and honours deadlines and cancellation. Faults, gray failures
+ * included, are set by POST /_fault. Its ledger, read by /_ledger, lists every
+ * request that it began to run, by X-Request-Id; tests compare it with the
+ * outcomes that callers were given (not-run, at most once).
  */
 #include <argtable2.h>
 #include <glib.h>
@@ -23,57 +24,58 @@
 #include "server.h"
 #include "standin.h"
 
-#define CONNECTIONS  512
-#define SWEEP	     TR_MSEC(5)
-#define STALL	     TR_MSEC(500)
-#define STALL_GAP    8e6
-#define NOISE_ERRORS 0.01
-#define COLD_FACTOR  5.0
-#define CUT_SIZE     4096
-#define HANG	     TR_SEC(600)
+#define CONNECTION_LIMIT  512
+#define SWEEP_INTERVAL	  TR_MSEC(5)
+#define STALL_TIME	  TR_MSEC(500)
+#define MEAN_STALL_GAP_US 8e6
+#define NOISE_ERROR_SHARE 0.01
+#define COLD_FACTOR	  5.0
+#define TRUNCATED_LENGTH  4096
+#define HANG_TIME	  TR_SEC(600)
 
 enum fault {
 	FAULT_OK,
-	FAULT_GRAY,
-	FAULT_SLOW,
-	FAULT_ERROR,
-	FAULT_TRUNCATE,
-	FAULT_GARBAGE,
-	FAULT_RESET,
-	FAULT_FLAP,
-	FAULT_SOME,
-	FAULT_NOISE,
+	FAULT_GRAY,	/* requests hang, health checks pass */
+	FAULT_SLOW,	/* work takes slow_factor times as long */
+	FAULT_ERROR,	/* status 500 */
+	FAULT_TRUNCATE, /* half of the body, then a reset */
+	FAULT_GARBAGE,	/* not HTTP */
+	FAULT_RESET,	/* closes the connection after it began to run */
+	FAULT_FLAP,	/* alternates between gray and ok */
+	FAULT_SOME,	/* gray for some clients only */
+	FAULT_NOISE,	/* the rare errors and stalls of a healthy target */
 	FAULT_COUNT,
 };
 
-static const char *const fault_words[FAULT_COUNT] = {
+static const char *const fault_names[FAULT_COUNT] = {
 	"ok",	   "gray",  "slow", "error", "truncate",
 	"garbage", "reset", "flap", "some",  "noise",
 };
 
-/* How often, and when last, a request began to run here. */
-struct entry {
-	unsigned runs;
+/* Ledger entry: the executions of one request. */
+struct ledger_entry {
+	unsigned runs; /* how often it began to run */
 	bool finished;
-	bool trickle;
-	uint64_t began_wall;
+	bool probe;	     /* the last run was a probe */
+	uint64_t began_wall; /* wall-clock time of the last run, in us */
 };
 
+/* One request of a caller. */
 struct job {
 	struct MHD_Connection *conn;
 	struct job *next;
 	char id[80];
-	bool known;
-	bool running;
+	bool has_id;  /* it has an id */
+	bool running; /* it holds a slot */
 	bool suspended;
-	bool ready;
-	bool drop;
-	bool health;
-	apr_time_t ends;
+	bool ready;	   /* it was resumed, to be answered */
+	bool dropped;	   /* close the connection instead of answering */
+	bool health_check; /* a health check that is delayed by a stall */
+	apr_time_t ends_at;
 	apr_time_t deadline;
 	uint64_t body_bytes;
 	uint64_t body_hash;
-	int pad;
+	int padding; /* bytes by which the answer is padded (X-Pad) */
 };
 
 struct target {
@@ -83,7 +85,7 @@
 	unsigned slots;
 	double work_ms;
 	apr_time_t started;
-	apr_time_t cold;
+	apr_time_t cold; /* how long it is slow after a start */
 	struct tr_random random;
 	GHashTable *ledger;
 	struct job *jobs;
@@ -93,21 +95,22 @@
 	double slow_factor;
 	apr_time_t flap_period;
 	apr_time_t fault_at;
-	char served_from[46];
-	apr_time_t stall_at;
+	char served_from[46]; /* FAULT_SOME: other clients hang */
+	apr_time_t stall_at;  /* when the next stall begins */
 	apr_time_t stall_until;
 	struct tr_event_ring events;
 	uint64_t refused;
 	uint64_t last_work_wall;
 };
 
-static struct target the_target;
+static struct target target_state;
 
 static apr_time_t now_of(const struct target *t)
 {
 	return tr_clock_now(loop_clock(t->standin.loop));
 }
 
+/* The fault that applies to this connection at present. */
 static enum fault fault_now(const struct target *t, struct MHD_Connection *conn)
 {
 	char ip[46];
@@ -125,6 +128,7 @@
 	return t->fault;
 }
 
+/* Time to serve the request, exponentially distributed; HANG_TIME if gray. */
 static apr_time_t work_time(struct target *t, struct MHD_Connection *conn)
 {
 	const char *asked =
@@ -138,13 +142,14 @@
 	case FAULT_SLOW:
 		return (apr_time_t)(ms * t->slow_factor * 1000);
 	case FAULT_GRAY:
-		return HANG;
+		return HANG_TIME;
 	default:
 		return (apr_time_t)(ms * 1000);
 	}
 }
 
-static void put_words(const struct target *t, struct MHD_Response *response)
+static void add_state_headers(const struct target *t,
+			      struct MHD_Response *response)
 {
 	char load[16];
 
@@ -162,7 +167,7 @@
 		strlen(text), text, MHD_RESPMEM_MUST_FREE);
 	enum MHD_Result ret;
 
-	put_words(t, response);
+	add_state_headers(t, response);
 	MHD_add_response_header(response, "Content-Type", "application/json");
 	if (not_run)
 		MHD_add_response_header(response, HEADER_NOT_RUN, not_run);
@@ -178,21 +183,21 @@
 	return answer(t, job, 503, why, strdup("{\"error\": \"not run\"}\n"));
 }
 
-static void write_ledger(struct target *t, const struct job *job)
+static void record_run(struct target *t, const struct job *job)
 {
-	struct entry *e;
+	struct ledger_entry *e;
 
 	t->last_work_wall = loop_wall(NULL);
-	if (!job->known)
+	if (!job->has_id)
 		return;
 	e = g_hash_table_lookup(t->ledger, job->id);
 	if (!e) {
-		e = g_new0(struct entry, 1);
+		e = g_new0(struct ledger_entry, 1);
 		g_hash_table_insert(t->ledger, g_strdup(job->id), e);
 	}
 	e->runs++;
-	e->trickle = MHD_lookup_connection_value(job->conn, MHD_HEADER_KIND,
-						 HEADER_TRICKLE) != NULL;
+	e->probe = MHD_lookup_connection_value(job->conn, MHD_HEADER_KIND,
+					       HEADER_TRICKLE) != NULL;
 	e->began_wall = t->last_work_wall;
 }
 
@@ -203,18 +208,20 @@
 	apr_time_t now = now_of(t);
 
 	if (fault_now(t, job->conn) == FAULT_RESET) {
-		write_ledger(t, job);
+		record_run(t, job);
 		return MHD_NO;
 	}
 	if (t->leaving)
 		return refuse(t, job, "leaving");
 	if (t->busy >= t->slots)
 		return refuse(t, job, "shed");
-	write_ledger(t, job);
-	job->ends = now + work_time(t, job->conn);
-	/* What hangs holds no slot: a target that swallows work is the worst.
+	record_run(t, job);
+	job->ends_at = now + work_time(t, job->conn);
+	/*
+	 * A hanging request holds no slot, so that the target goes on to
+	 * accept work that it never answers: the worst case for a balancer.
 	 */
-	job->running = job->ends - now < HANG;
+	job->running = job->ends_at - now < HANG_TIME;
 	t->busy += job->running;
 	job->deadline =
 		deadline ? now + TR_MSEC(strtol(deadline, NULL, 10)) : 0;
@@ -231,28 +238,29 @@
 	t->busy--;
 }
 
-static ssize_t cut_reader(void *ctx, uint64_t pos, char *buf, size_t max)
+/* MHD's callback for a body that ends at half of its Content-Length. */
+static ssize_t read_truncated(void *ctx, uint64_t pos, char *buf, size_t max)
 {
 	(void)ctx;
-	if (pos >= CUT_SIZE / 2)
+	if (pos >= TRUNCATED_LENGTH / 2)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
-	if (max > CUT_SIZE / 2 - pos)
-		max = CUT_SIZE / 2 - pos;
+	if (max > TRUNCATED_LENGTH / 2 - pos)
+		max = TRUNCATED_LENGTH / 2 - pos;
 	memset(buf, 'x', max);
 	return (ssize_t)max;
 }
 
-static enum MHD_Result cut_answer(struct job *job)
+static enum MHD_Result answer_truncated(struct job *job)
 {
 	struct MHD_Response *response = MHD_create_response_from_callback(
-		CUT_SIZE, CUT_SIZE, cut_reader, NULL, NULL);
+		TRUNCATED_LENGTH, TRUNCATED_LENGTH, read_truncated, NULL, NULL);
 	enum MHD_Result ret = MHD_queue_response(job->conn, 200, response);
 
 	MHD_destroy_response(response);
 	return ret;
 }
 
-static enum MHD_Result garbage(struct job *job)
+static enum MHD_Result answer_garbage(struct job *job)
 {
 	static const char text[] = "\x01\x02 this is no HTTP\r\n\r\n";
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
@@ -265,33 +273,33 @@
 
 static char *result_text(const struct target *t, const struct job *job)
 {
-	char *pad = malloc((size_t)job->pad + 1);
+	char *padding = malloc((size_t)job->padding + 1);
 	char *text = NULL;
 
-	memset(pad, 'p', (size_t)job->pad);
-	pad[job->pad] = 0;
+	memset(padding, 'p', (size_t)job->padding);
+	padding[job->padding] = 0;
 	if (asprintf(&text,
 		     "{\"target\": \"%s\", \"request\": \"%s\", "
 		     "\"body_bytes\": %lu, \"body_hash\": \"%lx\", "
 		     "\"pad\": \"%s\", \"end\": true}\n",
 		     t->name, job->id, (unsigned long)job->body_bytes,
-		     (unsigned long)job->body_hash, pad) < 0)
+		     (unsigned long)job->body_hash, padding) < 0)
 		text = NULL;
-	free(pad);
+	free(padding);
 	return text;
 }
 
 static enum MHD_Result finish_job(struct target *t, struct job *job)
 {
-	struct entry *e = g_hash_table_lookup(t->ledger, job->id);
+	struct ledger_entry *e = g_hash_table_lookup(t->ledger, job->id);
 
 	end_job(t, job);
-	if (job->drop)
+	if (job->dropped)
 		return MHD_NO;
 	if (e)
 		e->finished = true;
 	if (t->fault == FAULT_NOISE &&
-	    tr_random_unit(&t->random) < NOISE_ERRORS)
+	    tr_random_unit(&t->random) < NOISE_ERROR_SHARE)
 		return answer(t, job, 500, NULL,
 			      strdup("{\"error\": \"noise\"}\n"));
 	switch (fault_now(t, job->conn)) {
@@ -299,23 +307,23 @@
 		return answer(t, job, 500, NULL,
 			      strdup("{\"error\": \"internal\"}\n"));
 	case FAULT_TRUNCATE:
-		return cut_answer(job);
+		return answer_truncated(job);
 	case FAULT_GARBAGE:
-		return garbage(job);
+		return answer_garbage(job);
 	default:
 		return answer(t, job, 200, NULL, result_text(t, job));
 	}
 }
 
-static void put_entry(gpointer key, gpointer value, gpointer ctx)
+static void add_ledger_entry(gpointer key, gpointer value, gpointer ctx)
 {
-	const struct entry *e = value;
+	const struct ledger_entry *e = value;
 
 	json_object_set_new(
 		ctx, key,
 		json_pack("{s:i, s:b, s:b, s:I}", "runs", (int)e->runs,
 			  "finished", (int)e->finished, "trickle",
-			  (int)e->trickle, "wall", (json_int_t)e->began_wall));
+			  (int)e->probe, "wall", (json_int_t)e->began_wall));
 }
 
 static enum MHD_Result answer_ledger(struct target *t,
@@ -323,7 +331,7 @@
 {
 	json_t *entries = json_object();
 
-	g_hash_table_foreach(t->ledger, put_entry, entries);
+	g_hash_table_foreach(t->ledger, add_ledger_entry, entries);
 	return server_reply_json(
 		conn, 200,
 		json_pack("{s:s, s:I, s:o}", "target", t->name, "last_work_us",
@@ -344,13 +352,13 @@
 		t->started = now_of(t);
 		t->leaving = false;
 		for (struct job *job = t->jobs; job; job = job->next) {
-			job->drop = true;
-			job->ends = 0;
+			job->dropped = true;
+			job->ends_at = 0;
 		}
 		found = FAULT_OK;
 	}
 	for (int i = 0; i < FAULT_COUNT; i++)
-		if (!strcmp(mode, fault_words[i]))
+		if (!strcmp(mode, fault_names[i]))
 			found = i;
 	if (found < 0)
 		return server_reply_json(
@@ -368,8 +376,8 @@
 					   (json_int_t)loop_wall(NULL)));
 }
 
-static enum MHD_Result own_page(struct target *t, struct MHD_Connection *conn,
-				const char *url)
+static enum MHD_Result
+answer_control(struct target *t, struct MHD_Connection *conn, const char *url)
 {
 	if (!strcmp(url, "/_health"))
 		return server_reply_json(conn, 200,
@@ -401,12 +409,12 @@
 	if (!job->conn) {
 		const char *id = MHD_lookup_connection_value(
 			conn, MHD_HEADER_KIND, "X-Request-Id");
-		const char *pad = MHD_lookup_connection_value(
+		const char *padding = MHD_lookup_connection_value(
 			conn, MHD_HEADER_KIND, "X-Pad");
 
 		job->conn = conn;
-		job->known = id != NULL;
-		job->pad = pad ? (int)strtol(pad, NULL, 10) : 0;
+		job->has_id = id != NULL;
+		job->padding = padding ? (int)strtol(padding, NULL, 10) : 0;
 		snprintf(job->id, sizeof(job->id), "%s", id ? id : "");
 		return MHD_YES;
 	}
@@ -418,19 +426,19 @@
 	}
 	if (!strcmp(url, "/_health") && !job->ready &&
 	    now_of(t) < t->stall_until) {
-		job->health = true;
-		job->ends = t->stall_until;
+		job->health_check = true;
+		job->ends_at = t->stall_until;
 		job->suspended = true;
 		MHD_suspend_connection(conn);
 		return MHD_YES;
 	}
-	if (job->ready && !job->health)
+	if (job->ready && !job->health_check)
 		return finish_job(t, job);
 	if (!strcmp(url, "/v1/events"))
 		return server_reply_json(conn, 200,
 					 events_json(&t->events, t->name, 0));
 	if (!strncmp(url, "/_", 2))
-		return own_page(t, conn, url);
+		return answer_control(t, conn, url);
 	return start_job(t, job);
 }
 
@@ -475,19 +483,19 @@
 	return recv(info->connect_fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-/* Noise: healthy targets pause now and then, as for a collection of memory. */
+/* FAULT_NOISE: a healthy target pauses at times, as for garbage collection. */
 static void step_stall(struct target *t, apr_time_t now)
 {
 	if (t->fault != FAULT_NOISE || now < t->stall_at)
 		return;
 	if (t->stall_at)
-		t->stall_until = now + STALL;
-	t->stall_at = now + STALL +
+		t->stall_until = now + STALL_TIME;
+	t->stall_at = now + STALL_TIME +
 		      (apr_time_t)(-log(1.0 - tr_random_unit(&t->random)) *
-				   STALL_GAP);
+				   MEAN_STALL_GAP_US);
 }
 
-/* Work ends when it is done, when its deadline passes or its caller goes. */
+/* Ends jobs that are done, past their deadline or without a caller. */
 static void sweep(void *ctx)
 {
 	struct target *t = ctx;
@@ -495,22 +503,22 @@
 
 	step_stall(t, now);
 	for (struct job *job = t->jobs; job; job = job->next) {
-		bool over;
+		bool expired;
 
 		if (!job->suspended)
 			continue;
-		over = (job->deadline && now > job->deadline) ||
-		       caller_gone(job);
-		if (!over && (now < job->ends || now < t->stall_until))
+		expired = (job->deadline && now > job->deadline) ||
+			  caller_gone(job);
+		if (!expired && (now < job->ends_at || now < t->stall_until))
 			continue;
-		if (over && now < job->ends)
-			job->drop = true;
+		if (expired && now < job->ends_at)
+			job->dropped = true;
 		job->ready = true;
 		job->suspended = false;
 		MHD_resume_connection(job->conn);
 		server_wake(t->server);
 	}
-	loop_after(t->standin.loop, SWEEP / 5, sweep, t);
+	loop_after(t->standin.loop, SWEEP_INTERVAL / 5, sweep, t);
 }
 
 static int run(struct target *t, const char *listen)
@@ -518,7 +526,7 @@
 	struct tr_error err = { 0 };
 	struct server_options options = {
 		.field = "listen",
-		.connections = CONNECTIONS,
+		.connections = CONNECTION_LIMIT,
 		.handler = handler,
 		.completed = completed,
 		.begin = begin,
@@ -527,7 +535,7 @@
 	char ip[46];
 	char text[512];
 
-	if (standin_address(listen, ip, &options.port)) {
+	if (standin_parse_address(listen, ip, &options.port)) {
 		fprintf(stderr,
 			"toucanreel-target: --listen: '%s': "
 			"expected IP:PORT\n",
@@ -554,18 +562,20 @@
 
 int main(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "print this help");
 	struct arg_str *listen =
-		arg_str1("l", "listen", "IP:PORT", "where to answer");
-	struct arg_str *name = arg_str1("n", "name", "NAME", "its name");
+		arg_str1("l", "listen", "IP:PORT", "address to listen on");
+	struct arg_str *name =
+		arg_str1("n", "name", "NAME", "name of this target");
 	struct arg_int *slots = arg_int0("s", "slots", "N", "slots (3)");
 	struct arg_dbl *work =
-		arg_dbl0("w", "work-ms", "MS", "mean time of work (10)");
+		arg_dbl0("w", "work-ms", "MS", "mean service time (10)");
 	struct arg_int *cold =
-		arg_int0("c", "cold-ms", "MS", "cold after a restart (2000)");
+		arg_int0("c", "cold-ms", "MS",
+			 "slow for so long after a restart (2000)");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, listen, name, slots, work, cold, end };
-	struct target *t = &the_target;
+	struct target *t = &target_state;
 	int code = 2;
 	int errors = arg_parse(argc, argv, table);
 
