--- a/tests/path_test.cc
+++ b/tests/path_test.cc
@@ -1,15 +1,16 @@
+/* Tests of the proxy's request path with real sockets on both sides. */
 #include <gtest/gtest.h>
 
 #include "stack.h"
 
-static std::string body_of(const std::string &answer)
+static std::string body_part(const std::string &answer)
 {
 	size_t at = answer.find("\r\n\r\n");
 
 	return at == std::string::npos ? "" : answer.substr(at + 4);
 }
 
-TEST(Path, AnswerIsPassedOnWhole)
+TEST(Path, AnswerIsPassedOnUnchanged)
 {
 	RawTarget target([](int fd, const std::string &) {
 		RawTarget::ok(fd, "the answer");
@@ -18,12 +19,12 @@
 	std::string answer = vm.get("/a?b=%20c");
 
 	EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 200");
-	EXPECT_EQ(body_of(answer), "the answer");
+	EXPECT_EQ(body_part(answer), "the answer");
 	EXPECT_EQ(outcome(answer), "answered");
 	EXPECT_EQ(code(answer), TR_ANSWERED);
 }
 
-TEST(Path, TargetSeesThePathAndTheDeadlineButNotOurHeaders)
+TEST(Path, TargetGetsPathAndDeadlineButNoProxyHeaders)
 {
 	std::string seen;
 	std::mutex lock;
@@ -46,13 +47,11 @@
 }
 
 /*
- * Symptom: a purchase runs twice though it was sent once.
- * Sequence: a connection is kept; the target reads the request that comes on
- * it and closes before it answers.
- * Cause: the HTTP library takes it for a stale connection and sends the request
- * again by itself, POST too.
+ * Guards against a purchase that runs twice though it was sent once: a target
+ * reads a request on a reused connection and closes it before it answers;
+ * libcurl takes the connection for stale and resends even a POST by itself.
  */
-TEST(Path, LibraryDoesNotSendAgainByItself)
+TEST(Path, LibcurlDoesNotResend)
 {
 	std::atomic<int> posts{ 0 };
 	RawTarget target([&](int fd, const std::string &head) {
@@ -66,17 +65,18 @@
 	Stack vm({ target.address });
 
 	vm.get("/warm");
-	std::string key = header_of(vm.post_once("", "x"), "Toucanreel-Key");
+	std::string key = header_value(vm.post_once("", "x"), "Toucanreel-Key");
 	std::string answer = vm.post_once(key, "x");
 	EXPECT_EQ(posts, 1);
 	EXPECT_EQ(outcome(answer), "unknown");
 	EXPECT_EQ(code(answer), TR_BROKEN);
 	answer = vm.post_once(key, "x");
-	EXPECT_EQ(posts, 1) << "nor when the caller asks again";
+	EXPECT_EQ(posts, 1)
+		<< "and not when the caller retries with the same key";
 	EXPECT_EQ(code(answer), TR_KEY_SPENT);
 }
 
-TEST(Path, KeyIsNeededAndAnswersAreRemembered)
+TEST(Path, KeyIsRequiredAndAnswersAreReplayed)
 {
 	std::atomic<int> posts{ 0 };
 	RawTarget target([&](int fd, const std::string &) {
@@ -87,26 +87,26 @@
 
 	EXPECT_EQ(first.substr(0, 12), "HTTP/1.1 428");
 	EXPECT_EQ(outcome(first), "not-run");
-	std::string key = header_of(first, "Toucanreel-Key");
-	EXPECT_EQ(body_of(vm.post_once(key, "buy")), "run 1");
+	std::string key = header_value(first, "Toucanreel-Key");
+	EXPECT_EQ(body_part(vm.post_once(key, "buy")), "run 1");
 	std::string again = vm.post_once(key, "buy");
-	EXPECT_EQ(body_of(again), "run 1");
-	EXPECT_EQ(header_of(again, "Toucanreel-Replayed"), "1");
+	EXPECT_EQ(body_part(again), "run 1");
+	EXPECT_EQ(header_value(again, "Toucanreel-Replayed"), "1");
 	EXPECT_EQ(code(vm.post_once(key, "other")), TR_KEY_OTHER_BODY);
 	EXPECT_EQ(code(vm.post_once("no-key", "buy")), TR_KEY_MALFORMED);
 	EXPECT_EQ(posts, 1);
 }
 
 /*
- * Symptom: half a timetable is taken for a whole one.
- * Sequence: the target breaks off within its answer.
- * Cause: what came so far is passed on with a length that fits.
+ * Guards against half a timetable that is taken for a whole one: the target
+ * closes the connection within its answer, and the part received so far is
+ * passed on with a Content-Length that matches it.
  */
-TEST(Path, AnswerCutShortNeverLooksWhole)
+TEST(Path, TruncatedAnswerNeverLooksComplete)
 {
 	RawTarget target([](int fd, const std::string &) {
-		RawTarget::say(fd, "HTTP/1.1 200 OK\r\nContent-Length: "
-				   "100\r\n\r\nonly a part");
+		RawTarget::send_text(fd, "HTTP/1.1 200 OK\r\nContent-Length: "
+					 "100\r\n\r\nonly a part");
 		shutdown(fd, SHUT_RDWR);
 	});
 	Stack vm({ target.address });
@@ -117,11 +117,12 @@
 	EXPECT_EQ(answer.find("only a part"), std::string::npos);
 }
 
-TEST(Path, ChunkedAnswerWithoutItsEndNeverLooksWhole)
+TEST(Path, ChunkedAnswerWithoutLastChunkNeverLooksComplete)
 {
 	RawTarget target([](int fd, const std::string &) {
-		RawTarget::say(fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
-				   "chunked\r\n\r\n5\r\nhello\r\n");
+		RawTarget::send_text(fd,
+				     "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
+				     "chunked\r\n\r\n5\r\nhello\r\n");
 		shutdown(fd, SHUT_RDWR);
 	});
 	Stack vm({ target.address });
@@ -131,43 +132,43 @@
 }
 
 /*
- * Symptom: a package of 10 MB arrives as 3 MB, with a 200 status.
- * Sequence: the answer is too large to be held; it is streamed; it breaks off.
- * Cause: the caller's connection is ended in order.
+ * Guards against a package of 10 MB that arrives as 3 MB with status 200: the
+ * answer is too large to buffer, the target closes while it is streamed, and
+ * the caller's connection is closed as if it were complete.
  */
-TEST(Path, LargeAnswerThatBreaksOffBreaksTheCallersConnection)
+TEST(Path, TruncatedLargeAnswerResetsTheCallersConnection)
 {
 	RawTarget target([](int fd, const std::string &) {
-		RawTarget::say(fd, "HTTP/1.1 200 OK\r\nContent-Length: "
-				   "10000000\r\n\r\n");
+		RawTarget::send_text(fd, "HTTP/1.1 200 OK\r\nContent-Length: "
+					 "10000000\r\n\r\n");
 		for (int i = 0; i < 30; i++)
-			RawTarget::say(fd, std::string(100000, 'x'));
+			RawTarget::send_text(fd, std::string(100000, 'x'));
 		shutdown(fd, SHUT_RDWR);
 	});
 	Stack vm({ target.address });
 	std::string answer = vm.get("/a");
 
-	EXPECT_EQ(header_of(answer, "Content-Length"), "10000000");
-	EXPECT_LT(body_of(answer).size(), 10000000u);
+	EXPECT_EQ(header_value(answer, "Content-Length"), "10000000");
+	EXPECT_LT(body_part(answer).size(), 10000000u);
 }
 
-TEST(Path, LargeAnswerIsStreamedWhole)
+TEST(Path, LargeAnswerIsStreamedCompletely)
 {
 	RawTarget target([](int fd, const std::string &) {
-		RawTarget::say(fd, "HTTP/1.1 200 OK\r\nContent-Length: "
-				   "3000000\r\n\r\n");
+		RawTarget::send_text(fd, "HTTP/1.1 200 OK\r\nContent-Length: "
+					 "3000000\r\n\r\n");
 		for (int i = 0; i < 30; i++)
-			RawTarget::say(fd, std::string(100000, 'x'));
+			RawTarget::send_text(fd, std::string(100000, 'x'));
 	});
 	Stack vm({ target.address });
 
-	EXPECT_EQ(body_of(vm.get("/a")).size(), 3000000u);
+	EXPECT_EQ(body_part(vm.get("/a")).size(), 3000000u);
 }
 
-TEST(Path, AnswerWithoutALengthIsNotTrusted)
+TEST(Path, AnswerWithoutLengthCountsAsTruncated)
 {
 	RawTarget target([](int fd, const std::string &) {
-		RawTarget::say(fd, "HTTP/1.1 200 OK\r\n\r\nmaybe all");
+		RawTarget::send_text(fd, "HTTP/1.1 200 OK\r\n\r\nmaybe all");
 		shutdown(fd, SHUT_RDWR);
 	});
 	Stack vm({ target.address });
@@ -175,10 +176,10 @@
 	EXPECT_EQ(code(vm.get("/a")), TR_CUT_SHORT);
 }
 
-TEST(Path, GarbageIsNamedAsSuch)
+TEST(Path, AnswerThatIsNotHttpIsReportedAsGarbage)
 {
 	RawTarget target([](int fd, const std::string &) {
-		RawTarget::say(fd, "\x01\x02 no http at all\r\n\r\n");
+		RawTarget::send_text(fd, "\x01\x02 no http at all\r\n\r\n");
 		shutdown(fd, SHUT_RDWR);
 	});
 	Stack vm({ target.address });
@@ -188,14 +189,14 @@
 	EXPECT_EQ(outcome(answer), "unknown");
 }
 
-TEST(Path, EndlessHeadersOfATargetAreNotKept)
+TEST(Path, OversizedHeadersOfATargetAreRejected)
 {
 	RawTarget target([](int fd, const std::string &) {
 		std::string text = "HTTP/1.1 200 OK\r\n";
 
 		for (int i = 0; i < 2000; i++)
 			text += "X-Many: " + std::string(50, 'x') + "\r\n";
-		RawTarget::say(fd, text + "Content-Length: 0\r\n\r\n");
+		RawTarget::send_text(fd, text + "Content-Length: 0\r\n\r\n");
 		shutdown(fd, SHUT_RDWR);
 	});
 	Stack vm({ target.address });
@@ -203,12 +204,13 @@
 	EXPECT_EQ(outcome(vm.get("/a")), "unknown");
 }
 
-TEST(Path, TargetThatDidNotRunItIsFollowedByAnother)
+TEST(Path, RequestRefusedByOneTargetIsRetriedAtAnother)
 {
 	std::atomic<int> ran{ 0 };
 	RawTarget shedding([](int fd, const std::string &) {
-		RawTarget::say(fd, "HTTP/1.1 503 Busy\r\nX-Not-Run: shed\r\n"
-				   "Content-Length: 0\r\n\r\n");
+		RawTarget::send_text(fd,
+				     "HTTP/1.1 503 Busy\r\nX-Not-Run: shed\r\n"
+				     "Content-Length: 0\r\n\r\n");
 	});
 	RawTarget running([&](int fd, const std::string &) {
 		ran++;
@@ -218,30 +220,29 @@
 
 	for (int i = 1; i <= 5; i++) {
 		std::string key =
-			header_of(vm.post_once("", "x"), "Toucanreel-Key");
+			header_value(vm.post_once("", "x"), "Toucanreel-Key");
 
-		EXPECT_EQ(body_of(vm.post_once(key, "x")), "ran");
+		EXPECT_EQ(body_part(vm.post_once(key, "x")), "ran");
 		EXPECT_EQ(ran, i);
 	}
 }
 
-TEST(Path, NobodyListeningIsProvablyNotRun)
+TEST(Path, RefusedConnectionIsProvablyNotRun)
 {
 	Stack vm({ "127.0.0.1:9" });
 	std::string answer = vm.get("/a");
 
 	EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 503");
 	EXPECT_EQ(outcome(answer), "not-run");
-	EXPECT_NE(header_of(answer, "Retry-After"), "");
+	EXPECT_NE(header_value(answer, "Retry-After"), "");
 }
 
 /*
- * Symptom: a caller is told "not-run" of a request that a target ran.
- * Sequence: a first target takes the request and hangs; the request is moved;
- * every other target refuses it.
- * Cause: the last attempt's proof is taken for the whole request's.
+ * Guards against the outcome "not-run" for a request that a target ran: the
+ * first target accepts the request and hangs, the request is sent to others,
+ * which refuse it, and the last refusal is taken as proof for all attempts.
  */
-TEST(Path, RefusalAfterAnUnknownAttemptIsNotNotRun)
+TEST(Path, RefusalAfterAnUnknownAttemptLeavesOutcomeUnknown)
 {
 	RawTarget hanging([](int fd, const std::string &) {
 		char c;
@@ -250,8 +251,9 @@
 			;
 	});
 	RawTarget shedding([](int fd, const std::string &) {
-		RawTarget::say(fd, "HTTP/1.1 503 Busy\r\nX-Not-Run: shed\r\n"
-				   "Content-Length: 0\r\n\r\n");
+		RawTarget::send_text(fd,
+				     "HTTP/1.1 503 Busy\r\nX-Not-Run: shed\r\n"
+				     "Content-Length: 0\r\n\r\n");
 	});
 	Stack vm({ hanging.address, shedding.address }, 400);
 	int unknown = 0;
@@ -268,7 +270,7 @@
 	EXPECT_GT(unknown, 0) << "the hanging target was never tried";
 }
 
-TEST(Path, DeadlinePassedIsUnknown)
+TEST(Path, OutcomeAfterTheDeadlineIsUnknown)
 {
 	RawTarget target([](int fd, const std::string &) {
 		char c;
@@ -284,11 +286,11 @@
 }
 
 /*
- * Symptom: slots stay busy with work that nobody waits for.
- * Sequence: a caller gives up and closes its connection.
- * Cause: a suspended connection is not looked at until there is an answer.
+ * Guards against slots that stay busy with requests of callers that have left:
+ * a caller closes its connection, but a suspended connection is not polled
+ * until there is an answer.
  */
-TEST(Path, CallerThatGoesAwayCancelsAtTheTarget)
+TEST(Path, DisconnectedCallerCancelsTheRequestAtTheTarget)
 {
 	std::atomic<bool> cancelled{ false };
 	RawTarget target([&](int fd, const std::string &) {
@@ -299,9 +301,9 @@
 		cancelled = true;
 	});
 	Stack vm({ target.address }, 60000);
-	int fd = vm.dial();
+	int fd = vm.connect_to_proxy();
 
-	RawTarget::say(fd, "GET /s/svc/a HTTP/1.1\r\nHost: x\r\n\r\n");
+	RawTarget::send_text(fd, "GET /s/svc/a HTTP/1.1\r\nHost: x\r\n\r\n");
 	while (target.requests == 0)
 		usleep(1000);
 	close(fd);
@@ -310,32 +312,32 @@
 	EXPECT_TRUE(cancelled);
 }
 
-struct Shape {
+struct MalformedRequest {
 	const char *name;
 	const char *bytes;
 };
 
-struct BadRequest : testing::TestWithParam<Shape> {
+struct BadRequest : testing::TestWithParam<MalformedRequest> {
 };
 
 /*
- * Symptom: a request runs that no route, key or ledger has seen.
- * Sequence: a caller sends bytes that two readers split at different places.
- * Cause: one believes the one length header, the next the other.
+ * Guards against request smuggling, by which a request runs without a route, a
+ * key or a ledger entry: the bytes have two length headers, the proxy goes by
+ * one of them and the target by the other.
  */
-TEST_P(BadRequest, NeverReachesATarget)
+TEST_P(BadRequest, IsNeverSentToATarget)
 {
 	RawTarget target(
 		[](int fd, const std::string &) { RawTarget::ok(fd); });
 	Stack vm({ target.address });
-	std::string answer = vm.raw(GetParam().bytes);
+	std::string answer = vm.send_raw(GetParam().bytes);
 
 	EXPECT_EQ(target.requests, 0) << answer;
 	EXPECT_TRUE(answer.empty() || answer.compare(9, 1, "4") == 0) << answer;
 }
 
-static const Shape shapes[] = {
-	{ "BothLengthHeaders",
+static const MalformedRequest malformed_requests[] = {
+	{ "ContentLengthAndTransferEncoding",
 	  "POST /s/svc/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
 	  "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
 	  "0\r\n\r\n" },
@@ -348,7 +350,7 @@
 	{ "HexLength",
 	  "POST /s/svc/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
 	  "Content-Length: 0x4\r\n\r\nabcd" },
-	{ "OddEncoding",
+	{ "UnknownTransferEncoding",
 	  "POST /s/svc/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n"
 	  "Transfer-Encoding: xchunked\r\n\r\n0\r\n\r\n" },
 	{ "BadChunkSize",
@@ -356,25 +358,25 @@
 	  "Transfer-Encoding: chunked\r\n\r\nzz\r\nabc\r\n0\r\n\r\n" },
 	{ "NoVersion", "GET /s/svc/a\r\nConnection: close\r\n\r\n" },
 	{ "NoHost", "GET /s/svc/a HTTP/1.1\r\nConnection: close\r\n\r\n" },
-	{ "Nonsense", "\x16\x03\x01 hello\r\n\r\n\r\n" },
+	{ "NotHttp", "\x16\x03\x01 hello\r\n\r\n\r\n" },
 	{ "UpperCaseService",
 	  "GET /s/SVC/a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" },
-	{ "NoSuchApiCall",
+	{ "UnknownApiCall",
 	  "GET /v1/keyss HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" },
 };
 
-INSTANTIATE_TEST_SUITE_P(All, BadRequest, testing::ValuesIn(shapes),
-			 [](const testing::TestParamInfo<Shape> &p) {
+INSTANTIATE_TEST_SUITE_P(All, BadRequest, testing::ValuesIn(malformed_requests),
+			 [](const testing::TestParamInfo<MalformedRequest> &p) {
 				 return std::string(p.param.name);
 			 });
 
-TEST(Path, TooLargeIsSaidBeforeTheBodyIsRead)
+TEST(Path, TooLargeBodyIsRefusedBeforeItIsRead)
 {
 	RawTarget target(
 		[](int fd, const std::string &) { RawTarget::ok(fd); });
 	Stack vm({ target.address });
-	std::string answer = vm.raw("PUT /s/svc/a HTTP/1.1\r\nHost: x\r\n"
-				    "Content-Length: 99000000\r\n\r\n");
+	std::string answer = vm.send_raw("PUT /s/svc/a HTTP/1.1\r\nHost: x\r\n"
+					 "Content-Length: 99000000\r\n\r\n");
 
 	EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 413");
 	EXPECT_EQ(code(answer), TR_TOO_LARGE);
@@ -393,11 +395,12 @@
 	EXPECT_TRUE(answer.empty() || answer.compare(9, 1, "4") == 0);
 }
 
-TEST(Path, UnknownServiceIsNotReadyWhileThePlatformIsAway)
+TEST(Path, UnknownServiceIsNotReadyWhileThePlatformIsDown)
 {
 	Stack vm({ "127.0.0.1:9" });
-	std::string answer = vm.raw("GET /s/other/a HTTP/1.1\r\nHost: x\r\n"
-				    "Connection: close\r\n\r\n");
+	std::string answer =
+		vm.send_raw("GET /s/other/a HTTP/1.1\r\nHost: x\r\n"
+			    "Connection: close\r\n\r\n");
 
 	EXPECT_EQ(answer.substr(0, 12), "HTTP/1.1 503");
 	EXPECT_EQ(code(answer), TR_NOT_READY);
@@ -405,25 +408,24 @@
 }
 
 /*
- * Symptom: at full load one purchase in sixteen is refused though its deadline
- * is seconds away.
- * Sequence: targets shed; the request goes from one to the next, eight times.
- * Cause: a refusal counts like a failure.
+ * Guards against requests that fail at full load long before their deadline
+ * (one purchase in sixteen): all targets shed load, and eight refusals use up
+ * the limit of attempts, as failures do.
  */
-TEST(Path, RefusalsAreTriedUntilTheDeadline)
+TEST(Path, RefusedRequestsAreRetriedUntilTheDeadline)
 {
 	std::atomic<int> seen{ 0 };
 	RawTarget target([&](int fd, const std::string &) {
 		if (++seen <= 12)
-			RawTarget::say(fd, "HTTP/1.1 503 Busy\r\n"
-					   "X-Not-Run: shed\r\n"
-					   "Content-Length: 0\r\n\r\n");
+			RawTarget::send_text(fd, "HTTP/1.1 503 Busy\r\n"
+						 "X-Not-Run: shed\r\n"
+						 "Content-Length: 0\r\n\r\n");
 		else
 			RawTarget::ok(fd, "ran");
 	});
 	Stack vm({ target.address }, 20000);
-	std::string key = header_of(vm.post_once("", "x"), "Toucanreel-Key");
+	std::string key = header_value(vm.post_once("", "x"), "Toucanreel-Key");
 
-	EXPECT_EQ(body_of(vm.post_once(key, "x")), "ran");
+	EXPECT_EQ(body_part(vm.post_once(key, "x")), "ran");
 	EXPECT_EQ(seen, 13);
 }
--- a/tests/stack.h
+++ b/tests/stack.h
@@ -1,3 +1,4 @@
+/* Fixtures for tests of the proxy over real sockets: a target and one VM. */
 #ifndef STACK_H
 #define STACK_H
 
@@ -33,7 +34,10 @@
 	return socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 }
 
-/* A target made of bare sockets, which does just what a test tells it. */
+/*
+ * A target on plain sockets, whose bytes are under the control of the test. The
+ * script is called with the headers of each request.
+ */
 struct RawTarget {
 	using Script = std::function<void(int fd, const std::string &head)>;
 
@@ -41,10 +45,10 @@
 	std::string address;
 	Script script;
 	std::thread thread;
-	std::atomic<bool> over{ false };
+	std::atomic<bool> stopping{ false };
 	std::atomic<int> requests{ 0 };
 	std::atomic<int> closed_by_peer{ 0 };
-	std::vector<std::thread> callers;
+	std::vector<std::thread> connection_threads;
 
 	explicit RawTarget(Script s) : script(std::move(s))
 	{
@@ -61,10 +65,10 @@
 
 	~RawTarget()
 	{
-		over = true;
+		stopping = true;
 		shutdown(listener, SHUT_RDWR);
 		thread.join();
-		for (auto &t : callers)
+		for (auto &t : connection_threads)
 			t.join();
 		close(listener);
 	}
@@ -76,17 +80,18 @@
 
 			if (fd < 0)
 				return;
-			callers.emplace_back([this, fd] { one(fd); });
+			connection_threads.emplace_back(
+				[this, fd] { serve_connection(fd); });
 		}
 	}
 
-	/* Requests of one connection, until either side ends it. */
-	void one(int fd)
+	/* Serves the requests of one connection until either side closes it. */
+	void serve_connection(int fd)
 	{
 		timeval wait = { 0, 50000 };
 
 		setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
-		while (!over) {
+		while (!stopping) {
 			std::string head = read_head(fd);
 
 			if (head.empty())
@@ -97,12 +102,14 @@
 		close(fd);
 	}
 
+	/* Reads up to the end of the headers; "" on a close or at the end. */
 	std::string read_head(int fd)
 	{
 		std::string head;
 		char c;
 
-		while (!over && head.find("\r\n\r\n") == std::string::npos) {
+		while (!stopping &&
+		       head.find("\r\n\r\n") == std::string::npos) {
 			ssize_t n = recv(fd, &c, 1, 0);
 
 			if (n == 0) {
@@ -114,15 +121,15 @@
 			if (n == 1)
 				head += c;
 		}
-		return over ? "" : head;
+		return stopping ? "" : head;
 	}
 
-	/* Wait until the other side closes, or the test is over. */
+	/* Waits until the peer closes the connection or the test ends. */
 	void wait_close(int fd)
 	{
 		char c;
 
-		while (!over) {
+		while (!stopping) {
 			ssize_t n = recv(fd, &c, 1, 0);
 
 			if (n == 0) {
@@ -132,21 +139,24 @@
 		}
 	}
 
-	static void say(int fd, const std::string &text)
+	static void send_text(int fd, const std::string &text)
 	{
 		(void)!send(fd, text.data(), text.size(), MSG_NOSIGNAL);
 	}
 
 	static void ok(int fd, const std::string &body = "hello")
 	{
-		say(fd, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
-			"Content-Length: " +
-				std::to_string(body.size()) + "\r\n\r\n" +
-				body);
+		send_text(fd, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
+			      "Content-Length: " +
+				      std::to_string(body.size()) + "\r\n\r\n" +
+				      body);
 	}
 };
 
-/* One VM with its real adapters, on the loop of a thread of its own. */
+/*
+ * One VM with the proxy and its HTTP client, on an event loop in a thread of
+ * its own. Route /once is not idempotent; all other paths are.
+ */
 struct Stack {
 	apr_pool_t *pool = nullptr;
 	struct loop *loop;
@@ -264,7 +274,7 @@
 		loop_after(s->loop, TR_MSEC(5), sweep, s);
 	}
 
-	int dial()
+	int connect_to_proxy()
 	{
 		sockaddr_in addr;
 		int fd = tcp_socket("127.0.0.1", port, &addr);
@@ -273,17 +283,17 @@
 		return fd;
 	}
 
-	/* Send bytes as they are; all that comes back until the end. */
-	std::string raw(const std::string &bytes)
+	/* Sends the bytes unchanged. Returns what arrives until the close. */
+	std::string send_raw(const std::string &bytes)
 	{
-		int fd = dial();
+		int fd = connect_to_proxy();
 		std::string answer;
 		char buf[4096];
 		timeval wait = { 10, 0 };
 		ssize_t n;
 
 		setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof(wait));
-		RawTarget::say(fd, bytes);
+		RawTarget::send_text(fd, bytes);
 		while ((n = recv(fd, buf, sizeof(buf), 0)) > 0)
 			answer.append(buf, (size_t)n);
 		close(fd);
@@ -293,14 +303,15 @@
 	std::string get(const std::string &path,
 			const std::string &headers = "")
 	{
-		return raw("GET /s/svc" + path +
-			   " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" +
-			   headers + "\r\n");
+		return send_raw(
+			"GET /s/svc" + path +
+			" HTTP/1.1\r\nHost: x\r\nConnection: close\r\n" +
+			headers + "\r\n");
 	}
 
 	std::string post_once(const std::string &key, const std::string &body)
 	{
-		return raw(
+		return send_raw(
 			"POST /s/svc/once HTTP/1.1\r\nHost: x\r\n"
 			"Connection: close\r\n" +
 			(key.empty() ? "" : "Toucanreel-Key: " + key + "\r\n") +
@@ -309,7 +320,8 @@
 	}
 };
 
-inline std::string header_of(const std::string &answer, const std::string &name)
+inline std::string header_value(const std::string &answer,
+				const std::string &name)
 {
 	size_t at = answer.find(name + ": ");
 
@@ -321,12 +333,12 @@
 
 inline std::string outcome(const std::string &answer)
 {
-	return header_of(answer, "Toucanreel-Outcome");
+	return header_value(answer, "Toucanreel-Outcome");
 }
 
 inline int code(const std::string &answer)
 {
-	return atoi(header_of(answer, "Toucanreel-Code").c_str());
+	return atoi(header_value(answer, "Toucanreel-Code").c_str());
 }
 
 #endif
