--- a/src/arrive.c
+++ b/src/arrive.c
@@ -61,11 +61,11 @@
 	return true;
 }
 
-static bool set_service_name(struct request *r, const char *from, size_t len)
+static bool set_service_name(struct request *r, const char *name, size_t len)
 {
 	if (!len || len > TR_NAME_MAX)
 		return false;
-	memcpy(r->service, from, len);
+	memcpy(r->service, name, len);
 	r->service[len] = 0;
 	return strspn(r->service, "abcdefghijklmnopqrstuvwxyz0123456789-.") ==
 	       len;
@@ -76,14 +76,14 @@
 static bool parse_service_name(struct request *r)
 {
 	const char *host = request_header(r, "Host");
-	size_t skip = strlen(SERVICE_PATH);
+	size_t prefix_len = strlen(SERVICE_PATH);
 	size_t len;
 
-	if (!strncmp(r->uri, SERVICE_PATH, skip)) {
-		len = strcspn(r->uri + skip, "/?");
-		if (!set_service_name(r, r->uri + skip, len))
+	if (!strncmp(r->uri, SERVICE_PATH, prefix_len)) {
+		len = strcspn(r->uri + prefix_len, "/?");
+		if (!set_service_name(r, r->uri + prefix_len, len))
 			return false;
-		r->path = r->uri + skip + len;
+		r->path = r->uri + prefix_len + len;
 		if (*r->path != '/')
 			r->path = "/";
 		return true;
@@ -96,13 +96,15 @@
 {
 	const struct tr_document *doc = r->svc->document;
 	const char *text = request_header(r, HEADER_DEADLINE);
-	apr_time_t most =
+	apr_time_t max_deadline =
 		TR_MSEC(tr_document_deadline(doc, &doc->routes[r->route]));
-	apr_time_t asked = text ? TR_MSEC(strtol(text, NULL, 10)) : most;
+	apr_time_t requested =
+		text ? TR_MSEC(strtol(text, NULL, 10)) : max_deadline;
 
-	if (asked < MIN_DEADLINE)
-		asked = MIN_DEADLINE;
-	r->deadline = r->began + (asked < most ? asked : most);
+	if (requested < MIN_DEADLINE)
+		requested = MIN_DEADLINE;
+	r->deadline = r->began +
+		      (requested < max_deadline ? requested : max_deadline);
 }
 
 static enum tr_result read_key(struct request *r)
@@ -142,7 +144,7 @@
 }
 
 /* A VM that left the cell still serves the callers that use its address. */
-static bool served_here(const struct request *r, apr_time_t now)
+static bool is_served_here(const struct request *r, apr_time_t now)
 {
 	const struct tr_service *svc = r->svc;
 
@@ -185,7 +187,7 @@
 		    !r->svc->platform_has_none)
 			return false;
 		res = missing_document(r);
-	} else if (!served_here(r, now)) {
+	} else if (!is_served_here(r, now)) {
 		res = TR_WRONG_VM;
 	} else {
 		r->svc->counts.requests++;
--- a/src/attempt.c
+++ b/src/attempt.c
@@ -272,7 +272,7 @@
 	r->attempt_running = false;
 }
 
-static void report_end(struct request *r, enum tr_attempt_end how)
+static void report_end(struct request *r, enum tr_attempt_end end)
 {
 	struct tr_target *target = target_of(r);
 	struct tr_board *board = r->proxy->board;
@@ -290,8 +290,8 @@
 	 * target, so the median latency is recorded instead.
 	 */
 	tr_attempt_end(
-		board, r->svc, target, r->route, how,
-		r->body_streamed && how == TR_ATTEMPT_ANSWERED
+		board, r->svc, target, r->route, end,
+		r->body_streamed && end == TR_ATTEMPT_ANSWERED
 			? now - tr_service_median_latency(r->svc, r->route)
 			: r->attempt.began,
 		r->attempt.overdue_reported, now);
@@ -300,20 +300,20 @@
 static void transfer_done(void *owner, CURLcode code)
 {
 	struct request *r = owner;
-	enum tr_attempt_end how = classify(r, code);
+	enum tr_attempt_end end = classify(r, code);
 
 	release_transfer(r);
-	report_end(r, how);
-	proxy_attempt_done(r, how);
+	report_end(r, end);
+	proxy_attempt_done(r, end);
 }
 
 /* Cancels a running attempt and closes its connection. */
-void attempt_abandon(struct request *r, enum tr_attempt_end how)
+void attempt_abandon(struct request *r, enum tr_attempt_end end)
 {
 	if (!r->attempt_running)
 		return;
 	release_transfer(r);
-	report_end(r, how);
+	report_end(r, end);
 }
 
 static int copy_header(void *ctx, enum MHD_ValueKind kind, const char *name,
--- a/src/client.c
+++ b/src/client.c
@@ -233,7 +233,7 @@
 	free(fetch);
 }
 
-static size_t fetch_body(char *data, size_t size, size_t n, void *ctx)
+static size_t fetch_receive_body(char *data, size_t size, size_t n, void *ctx)
 {
 	struct fetch *fetch = ctx;
 	size_t chunk_len = size * n;
@@ -251,7 +251,7 @@
 	return chunk_len;
 }
 
-static size_t fetch_header(char *data, size_t size, size_t n, void *ctx)
+static size_t fetch_receive_header(char *data, size_t size, size_t n, void *ctx)
 {
 	struct fetch *fetch = ctx;
 	char line[256];
@@ -303,9 +303,11 @@
 	curl_easy_setopt(fetch->easy, CURLOPT_URL, url);
 	curl_easy_setopt(fetch->easy, CURLOPT_TIMEOUT_MS,
 			 (long)(timeout / 1000));
-	curl_easy_setopt(fetch->easy, CURLOPT_WRITEFUNCTION, fetch_body);
+	curl_easy_setopt(fetch->easy, CURLOPT_WRITEFUNCTION,
+			 fetch_receive_body);
 	curl_easy_setopt(fetch->easy, CURLOPT_WRITEDATA, fetch);
-	curl_easy_setopt(fetch->easy, CURLOPT_HEADERFUNCTION, fetch_header);
+	curl_easy_setopt(fetch->easy, CURLOPT_HEADERFUNCTION,
+			 fetch_receive_header);
 	curl_easy_setopt(fetch->easy, CURLOPT_HEADERDATA, fetch);
 	if (post) {
 		fetch->headers = curl_slist_append(NULL, "Expect:");
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -13,6 +13,7 @@
 #include "permit.h"
 #include "request.h"
 
+/* The HELP and TYPE lines of a metric. */
 static void put_header(GString *out, const char *name, const char *type,
 		       const char *help)
 {
@@ -43,10 +44,11 @@
 				proxy->counts.by_code[code]);
 }
 
-static uint64_t service_value(const struct tr_service *svc, int column,
+/* Value of the metric with this index in by_service. */
+static uint64_t service_value(const struct tr_service *svc, int metric,
 			      apr_time_t now)
 {
-	switch (column) {
+	switch (metric) {
 	case 0:
 		return svc->counts.requests;
 	case 1:
--- a/src/operator.c
+++ b/src/operator.c
@@ -24,6 +24,7 @@
 #define OPERATOR_CONNECTIONS 256
 #define OPERATOR_IDLE_S	     60
 
+/* The HTTP server and the modules on which it reports. */
 struct operator_port {
 	struct operator_parts parts;
 	struct server *server;
--- a/src/proxy.c
+++ b/src/proxy.c
@@ -138,15 +138,15 @@
  * otherwise a caller would be told "not-run" for a request in a target's
  * ledger.
  */
-static void note_if_executed(struct request *r, enum tr_attempt_end how)
+static void note_if_executed(struct request *r, enum tr_attempt_end end)
 {
-	if (how == TR_ATTEMPT_TARGET_REFUSED || how == TR_ATTEMPT_UNREACHED)
+	if (end == TR_ATTEMPT_TARGET_REFUSED || end == TR_ATTEMPT_UNREACHED)
 		return;
 	r->maybe_executed = true;
 	r->unknown_code =
-		how == TR_ATTEMPT_ABANDONED || how == TR_ATTEMPT_FAILED_STATUS
+		end == TR_ATTEMPT_ABANDONED || end == TR_ATTEMPT_FAILED_STATUS
 			? TR_TIMED_OUT
-			: tr_attempt_result(how);
+			: tr_attempt_result(end);
 }
 
 /*
@@ -373,10 +373,10 @@
  * request that is not idempotent is retried only if it was provably not run;
  * others are retried within the retry budget.
  */
-static bool may_retry(struct request *r, enum tr_attempt_end how)
+static bool may_retry(struct request *r, enum tr_attempt_end end)
 {
 	bool not_run =
-		how == TR_ATTEMPT_TARGET_REFUSED || how == TR_ATTEMPT_UNREACHED;
+		end == TR_ATTEMPT_TARGET_REFUSED || end == TR_ATTEMPT_UNREACHED;
 
 	if (!r->conn || !attempt_can_resend(r) || r->forwarded_out ||
 	    !deadline_allows_retry(r))
@@ -386,7 +386,7 @@
 	 * does not count against MAX_ATTEMPTS: the request is retried until
 	 * its deadline, or MAX_REFUSALS times.
 	 */
-	if (how == TR_ATTEMPT_TARGET_REFUSED)
+	if (end == TR_ATTEMPT_TARGET_REFUSED)
 		return ++r->refusals < MAX_REFUSALS;
 	if (r->attempts - r->refusals >= MAX_ATTEMPTS)
 		return false;
@@ -396,9 +396,9 @@
 }
 
 static enum tr_result final_code(const struct request *r,
-				 enum tr_attempt_end how)
+				 enum tr_attempt_end end)
 {
-	enum tr_result code = tr_attempt_result(how);
+	enum tr_result code = tr_attempt_result(end);
 
 	/* The VM that minted the key may have sent the request. */
 	if (r->forwarded_out && code != TR_ANSWERED)
@@ -407,23 +407,23 @@
 }
 
 /* Handles the end of an attempt: retries, or answers the caller. */
-void proxy_attempt_done(struct request *r, enum tr_attempt_end how)
+void proxy_attempt_done(struct request *r, enum tr_attempt_end end)
 {
 	struct proxy *proxy = r->proxy;
 	struct tr_service *svc = r->svc;
 
-	note_if_executed(r, how);
-	if (how == TR_ATTEMPT_ANSWERED)
+	note_if_executed(r, end);
+	if (end == TR_ATTEMPT_ANSWERED)
 		tr_retry_deposit(&svc->retries, svc->document->retry_percent);
-	if (how == TR_ATTEMPT_FAILED_STATUS && r->forwarded_out)
-		how = TR_ATTEMPT_ANSWERED;
-	if (how == TR_ATTEMPT_ANSWERED) {
+	if (end == TR_ATTEMPT_FAILED_STATUS && r->forwarded_out)
+		end = TR_ATTEMPT_ANSWERED;
+	if (end == TR_ATTEMPT_ANSWERED) {
 		proxy_finish(r, TR_ANSWERED);
-	} else if (may_retry(r, how)) {
+	} else if (may_retry(r, end)) {
 		svc->counts.retries++;
 		send_or_queue(r);
 	} else {
-		proxy_finish(r, final_code(r, how));
+		proxy_finish(r, final_code(r, end));
 	}
 	proxy_serve_queue(proxy, svc);
 }
@@ -520,7 +520,8 @@
 	return body_end_received(r);
 }
 
-static void *begin(void *ctx, const char *uri, struct MHD_Connection *conn)
+static void *request_begin(void *ctx, const char *uri,
+			   struct MHD_Connection *conn)
 {
 	struct proxy *proxy = ctx;
 
@@ -534,8 +535,9 @@
  * target. Any other continues, so that its outcome is known and stored for a
  * retry of the caller with the same key.
  */
-static void completed(void *ctx, struct MHD_Connection *conn, void **con_cls,
-		      enum MHD_RequestTerminationCode code)
+static void request_completed(void *ctx, struct MHD_Connection *conn,
+			      void **con_cls,
+			      enum MHD_RequestTerminationCode code)
 {
 	struct request *r = *con_cls;
 
@@ -581,8 +583,8 @@
 		.connections = o->connections,
 		.idle_s = CALLER_IDLE_S,
 		.handler = handler,
-		.completed = completed,
-		.begin = begin,
+		.request_completed = request_completed,
+		.request_begin = request_begin,
 		.ctx = proxy,
 	};
 
--- a/src/request.c
+++ b/src/request.c
@@ -35,6 +35,7 @@
 	return r;
 }
 
+/* Empties the reply but keeps the limit of its body. */
 void reply_clear(struct reply *reply)
 {
 	size_t max = reply->body.max;
--- a/src/request.h
+++ b/src/request.h
@@ -150,14 +150,14 @@
 void proxy_dispatch(struct request *r);
 void proxy_finish(struct request *r, enum tr_result code);
 void proxy_reroute(struct request *r);
-void proxy_attempt_done(struct request *r, enum tr_attempt_end how);
+void proxy_attempt_done(struct request *r, enum tr_attempt_end end);
 void proxy_serve_queue(struct proxy *proxy, struct tr_service *svc);
 
 /* attempt.c */
 int attempt_start(struct request *r, struct tr_target *target,
 		  enum tr_pick_kind kind);
 int attempt_forward(struct request *r, const char *authority);
-void attempt_abandon(struct request *r, enum tr_attempt_end how);
+void attempt_abandon(struct request *r, enum tr_attempt_end end);
 void attempt_body_ready(struct request *r);
 void attempt_reply_drained(struct request *r);
 bool attempt_can_resend(const struct request *r);
--- a/src/server.c
+++ b/src/server.c
@@ -19,6 +19,7 @@
 
 #define CONNECTION_MEMORY (32 * 1024)
 #define LISTEN_BACKLOG	  1024
+/* Upper bound of the timer, in case MHD reports no timeout. */
 #define MAX_WAIT_MS	  1000
 #define MAX_RUNS_PER_POLL 16
 
@@ -122,8 +123,8 @@
 		MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
 		MHD_OPTION_LISTEN_BACKLOG_SIZE, (unsigned)LISTEN_BACKLOG,
 		MHD_OPTION_STRICT_FOR_CLIENT, 1, MHD_OPTION_NOTIFY_COMPLETED,
-		o->completed, o->ctx, MHD_OPTION_URI_LOG_CALLBACK, o->begin,
-		o->ctx, MHD_OPTION_END);
+		o->request_completed, o->ctx, MHD_OPTION_URI_LOG_CALLBACK,
+		o->request_begin, o->ctx, MHD_OPTION_END);
 	if (!server->daemon) {
 		snprintf(text, sizeof(text), "%s:%u", o->ip, o->port);
 		tr_error_set(err, TR_PORT_IN_USE, o->field, text,
--- a/src/server.h
+++ b/src/server.h
@@ -16,8 +16,9 @@
 	unsigned connections; /* limit of concurrent connections */
 	unsigned idle_s;      /* idle timeout of a connection, 0: none */
 	MHD_AccessHandlerCallback handler;
-	MHD_RequestCompletedCallback completed;
-	void *(*begin)(void *ctx, const char *uri, struct MHD_Connection *conn);
+	MHD_RequestCompletedCallback request_completed;
+	void *(*request_begin)(void *ctx, const char *uri,
+			       struct MHD_Connection *conn);
 	void *ctx;
 };
 
--- a/src/sweep.c
+++ b/src/sweep.c
@@ -5,13 +5,16 @@
 #include "loop.h"
 #include "proxy.h"
 
-#define GONE_CHECK_AFTER  TR_MSEC(30)
-#define STREAM_AFTER	  TR_MSEC(100)
-#define UPLOAD_GRACE	  TR_SEC(30)
+#define DISCONNECT_CHECK_AFTER TR_MSEC(30)
+/* A body that takes longer than this is passed on while it arrives. */
+#define STREAM_AFTER TR_MSEC(100)
+/* A body may take this long to upload even past the deadline. */
+#define UPLOAD_GRACE TR_SEC(30)
+/* An attempt is overdue after 3/2 of the threshold for slow answers. */
 #define HEDGE_NUMERATOR	  3
 #define HEDGE_DENOMINATOR 2
 
-static bool caller_gone(const struct request *r)
+static bool caller_disconnected(const struct request *r)
 {
 	const union MHD_ConnectionInfo *info;
 	char byte;
@@ -91,8 +94,9 @@
 		proxy_finish(r, TR_WOULD_BE_LATE);
 		return;
 	}
-	if (now - r->began > GONE_CHECK_AFTER && r->state != REQUEST_DONE &&
-	    caller_gone(r) && r->record == TR_NO_RECORD) {
+	if (now - r->began > DISCONNECT_CHECK_AFTER &&
+	    r->state != REQUEST_DONE && caller_disconnected(r) &&
+	    r->record == TR_NO_RECORD) {
 		proxy_finish(r, TR_CALLER_GONE);
 		return;
 	}
--- a/src/toucanreel_platform.c
+++ b/src/toucanreel_platform.c
@@ -47,7 +47,7 @@
 static const char *const fault_names[] = { "ok", "down", "stale", "slow" };
 
 /* A fault for clients whose address begins with from. The last match counts. */
-struct rule {
+struct fault_rule {
 	char from[46];
 	enum fault_mode mode;
 	uint64_t stale_index; /* newer versions are hidden */
@@ -74,7 +74,7 @@
 	struct server *server;
 	GPtrArray *versions;
 	uint64_t index;
-	struct rule rules[MAX_RULES];
+	struct fault_rule rules[MAX_RULES];
 	unsigned rules_count;
 	struct call *calls;
 	struct tr_event_ring events;
@@ -108,13 +108,14 @@
 			"published, revision %lu", (unsigned long)v->index);
 }
 
-static const struct rule *find_rule(const struct platform *p, const char *ip)
+static const struct fault_rule *find_rule(const struct platform *p,
+					  const char *ip)
 {
 	for (unsigned i = p->rules_count; i-- > 0;) {
-		const struct rule *rule = &p->rules[i];
+		const struct fault_rule *fault_rule = &p->rules[i];
 
-		if (!strncmp(ip, rule->from, strlen(rule->from)))
-			return rule;
+		if (!strncmp(ip, fault_rule->from, strlen(fault_rule->from)))
+			return fault_rule;
 	}
 	return NULL;
 }
@@ -224,23 +225,23 @@
 				   const char *url)
 {
 	const char *wait = standin_query(call->conn, "wait", "10s");
-	const struct rule *rule;
+	const struct fault_rule *fault_rule;
 	char ip[46];
 
 	count_call(p, call);
 	standin_peer_ip(call->conn, ip);
-	rule = find_rule(p, ip);
-	if (rule && rule->mode == FAULT_DOWN)
+	fault_rule = find_rule(p, ip);
+	if (fault_rule && fault_rule->mode == FAULT_DOWN)
 		return MHD_NO;
 	snprintf(call->key, sizeof(call->key), "%s", url);
 	call->recurse = standin_query(call->conn, "recurse", NULL) != NULL;
 	call->index = (uint64_t)standin_query_number(call->conn, "index", 0);
-	call->visible_index = rule && rule->mode == FAULT_STALE
-				      ? rule->stale_index
+	call->visible_index = fault_rule && fault_rule->mode == FAULT_STALE
+				      ? fault_rule->stale_index
 				      : UINT64_MAX;
-	if (rule && rule->mode == FAULT_SLOW &&
-	    now_of(p) - call->began < rule->delay) {
-		call->until = call->began + rule->delay;
+	if (fault_rule && fault_rule->mode == FAULT_SLOW &&
+	    now_of(p) - call->began < fault_rule->delay) {
+		call->until = call->began + fault_rule->delay;
 		return suspend_call(call);
 	}
 	if (call->index && latest_index(p, call) <= call->index &&
@@ -257,13 +258,13 @@
 {
 	const char *mode = standin_query(conn, "mode", "ok");
 	const char *from = standin_query(conn, "from", "");
-	struct rule rule = { .stale_index = p->index };
+	struct fault_rule fault_rule = { .stale_index = p->index };
 	bool found = false;
 
 	for (int i = 0; i <= FAULT_SLOW; i++) {
 		if (strcmp(mode, fault_names[i]) != 0)
 			continue;
-		rule.mode = (enum fault_mode)i;
+		fault_rule.mode = (enum fault_mode)i;
 		found = true;
 	}
 	if (!found)
@@ -271,13 +272,13 @@
 					 json_pack("{s:s}", "error",
 						   "expected mode ok, down, "
 						   "stale or slow"));
-	snprintf(rule.from, sizeof(rule.from), "%s", from);
-	rule.delay = TR_MSEC(
+	snprintf(fault_rule.from, sizeof(fault_rule.from), "%s", from);
+	fault_rule.delay = TR_MSEC(
 		standin_query_number(conn, "delay_ms", DEFAULT_DELAY_MS));
-	if (rule.mode == FAULT_OK && !*from)
+	if (fault_rule.mode == FAULT_OK && !*from)
 		p->rules_count = 0;
 	else if (p->rules_count < MAX_RULES)
-		p->rules[p->rules_count++] = rule;
+		p->rules[p->rules_count++] = fault_rule;
 	tr_event_append(&p->events, loop_wall(NULL), TR_EVENT_FAULT, "",
 			"platform", "%s for %s", mode, *from ? from : "all");
 	return server_reply_json(conn, 200, json_pack("{s:s}", "mode", mode));
@@ -327,7 +328,8 @@
 				 json_pack("{s:s}", "error", "no such path"));
 }
 
-static void *begin(void *ctx, const char *uri, struct MHD_Connection *conn)
+static void *request_begin(void *ctx, const char *uri,
+			   struct MHD_Connection *conn)
 {
 	struct platform *p = ctx;
 	struct call *call = g_new0(struct call, 1);
@@ -340,21 +342,22 @@
 	return call;
 }
 
-static void completed(void *ctx, struct MHD_Connection *conn, void **con_cls,
-		      enum MHD_RequestTerminationCode code)
+static void request_completed(void *ctx, struct MHD_Connection *conn,
+			      void **con_cls,
+			      enum MHD_RequestTerminationCode code)
 {
 	struct platform *p = ctx;
 	struct call *call = *con_cls;
-	struct call **at = &p->calls;
+	struct call **link = &p->calls;
 
 	(void)conn;
 	(void)code;
 	if (!call)
 		return;
-	while (*at && *at != call)
-		at = &(*at)->next;
-	if (*at)
-		*at = call->next;
+	while (*link && *link != call)
+		link = &(*link)->next;
+	if (*link)
+		*link = call->next;
 	buffer_free(&call->body);
 	g_free(call);
 	*con_cls = NULL;
@@ -413,8 +416,8 @@
 		.connections = CONNECTION_LIMIT,
 		.idle_s = 0,
 		.handler = handler,
-		.completed = completed,
-		.begin = begin,
+		.request_completed = request_completed,
+		.request_begin = request_begin,
 		.ctx = p,
 	};
 	char ip[46];
--- a/src/toucanreel_target.c
+++ b/src/toucanreel_target.c
@@ -111,7 +111,8 @@
 }
 
 /* The fault that applies to this connection at present. */
-static enum fault fault_now(const struct target *t, struct MHD_Connection *conn)
+static enum fault current_fault(const struct target *t,
+				struct MHD_Connection *conn)
 {
 	char ip[46];
 
@@ -131,14 +132,14 @@
 /* Time to serve the request, exponentially distributed; HANG_TIME if gray. */
 static apr_time_t work_time(struct target *t, struct MHD_Connection *conn)
 {
-	const char *asked =
+	const char *requested_ms =
 		MHD_lookup_connection_value(conn, MHD_HEADER_KIND, "X-Work-Ms");
-	double mean = asked ? strtod(asked, NULL) : t->work_ms;
+	double mean = requested_ms ? strtod(requested_ms, NULL) : t->work_ms;
 	double ms = -mean * log(1.0 - tr_random_unit(&t->random));
 
 	if (now_of(t) - t->started < t->cold)
 		ms *= COLD_FACTOR;
-	switch (fault_now(t, conn)) {
+	switch (current_fault(t, conn)) {
 	case FAULT_SLOW:
 		return (apr_time_t)(ms * t->slow_factor * 1000);
 	case FAULT_GRAY:
@@ -207,7 +208,7 @@
 		job->conn, MHD_HEADER_KIND, HEADER_TARGET_DEADLINE);
 	apr_time_t now = now_of(t);
 
-	if (fault_now(t, job->conn) == FAULT_RESET) {
+	if (current_fault(t, job->conn) == FAULT_RESET) {
 		record_run(t, job);
 		return MHD_NO;
 	}
@@ -302,7 +303,7 @@
 	    tr_random_unit(&t->random) < NOISE_ERROR_SHARE)
 		return answer(t, job, 500, NULL,
 			      strdup("{\"error\": \"noise\"}\n"));
-	switch (fault_now(t, job->conn)) {
+	switch (current_fault(t, job->conn)) {
 	case FAULT_ERROR:
 		return answer(t, job, 500, NULL,
 			      strdup("{\"error\": \"internal\"}\n"));
@@ -442,7 +443,8 @@
 	return start_job(t, job);
 }
 
-static void *begin(void *ctx, const char *uri, struct MHD_Connection *conn)
+static void *request_begin(void *ctx, const char *uri,
+			   struct MHD_Connection *conn)
 {
 	struct target *t = ctx;
 	struct job *job = g_new0(struct job, 1);
@@ -454,27 +456,28 @@
 	return job;
 }
 
-static void completed(void *ctx, struct MHD_Connection *conn, void **con_cls,
-		      enum MHD_RequestTerminationCode code)
+static void request_completed(void *ctx, struct MHD_Connection *conn,
+			      void **con_cls,
+			      enum MHD_RequestTerminationCode code)
 {
 	struct target *t = ctx;
 	struct job *job = *con_cls;
-	struct job **at = &t->jobs;
+	struct job **link = &t->jobs;
 
 	(void)conn;
 	(void)code;
 	if (!job)
 		return;
-	while (*at && *at != job)
-		at = &(*at)->next;
-	if (*at)
-		*at = job->next;
+	while (*link && *link != job)
+		link = &(*link)->next;
+	if (*link)
+		*link = job->next;
 	end_job(t, job);
 	g_free(job);
 	*con_cls = NULL;
 }
 
-static bool caller_gone(const struct job *job)
+static bool caller_disconnected(const struct job *job)
 {
 	const union MHD_ConnectionInfo *info = MHD_get_connection_info(
 		job->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -508,7 +511,7 @@
 		if (!job->suspended)
 			continue;
 		expired = (job->deadline && now > job->deadline) ||
-			  caller_gone(job);
+			  caller_disconnected(job);
 		if (!expired && (now < job->ends_at || now < t->stall_until))
 			continue;
 		if (expired && now < job->ends_at)
@@ -528,8 +531,8 @@
 		.field = "listen",
 		.connections = CONNECTION_LIMIT,
 		.handler = handler,
-		.completed = completed,
-		.begin = begin,
+		.request_completed = request_completed,
+		.request_begin = request_begin,
 		.ctx = t,
 	};
 	char ip[46];
--- a/src/toucanreeld.c
+++ b/src/toucanreeld.c
@@ -52,7 +52,7 @@
 	apr_time_t last_busy_at; /* when a request was last in flight */
 };
 
-static void step_services(void *ctx)
+static void periodic_step(void *ctx)
 {
 	struct daemon *d = ctx;
 	apr_time_t now = tr_clock_now(&d->board->clock);
@@ -63,7 +63,7 @@
 	peer_step(d->link);
 	health_step(d->health);
 	tr_dispatcher_sweep(&d->board->dispatcher, now, SWEEP_RECORDS);
-	loop_after(d->loop, STEP_PERIOD, step_services, d);
+	loop_after(d->loop, STEP_PERIOD, periodic_step, d);
 }
 
 static void sweep_requests(void *ctx)
@@ -118,7 +118,7 @@
 /* The longest time for which callers may keep this VM's address, in us. */
 static apr_time_t max_address_lifetime(const struct daemon *d)
 {
-	apr_time_t most = 0;
+	apr_time_t longest = 0;
 
 	for (int i = 0; i < TR_MAX_SERVICES; i++) {
 		const struct tr_service *svc = &d->board->services[i];
@@ -127,9 +127,9 @@
 		if (!svc->used || !svc->document || !svc->in_cell)
 			continue;
 		keep = TR_SEC(svc->document->keep_s);
-		most = keep > most ? keep : most;
+		longest = keep > longest ? keep : longest;
 	}
-	return most;
+	return longest;
 }
 
 /*
@@ -141,7 +141,7 @@
 {
 	struct daemon *d = ctx;
 	apr_time_t now = tr_clock_now(&d->board->clock);
-	apr_time_t bound = TR_SEC(d->settings->stop_after_s);
+	apr_time_t max_drain_time = TR_SEC(d->settings->stop_after_s);
 	apr_time_t lifetime = max_address_lifetime(d);
 
 	if (d->board->leaving) {
@@ -149,7 +149,8 @@
 		return;
 	}
 	d->board->leaving = true;
-	d->stop_at = now + (lifetime < bound ? lifetime : bound);
+	d->stop_at =
+		now + (lifetime < max_drain_time ? lifetime : max_drain_time);
 	for (int i = 0; i < TR_MAX_SERVICES; i++)
 		/* Tell the peers without waiting for the next period. */
 		for (unsigned p = 0; p < d->board->services[i].peers_count; p++)
@@ -192,7 +193,7 @@
 	return 0;
 }
 
-static int open_ports(struct daemon *d, struct tr_error *err)
+static int start_modules(struct daemon *d, struct tr_error *err)
 {
 	struct settings *s = d->settings;
 	struct config_options config = {
@@ -228,7 +229,7 @@
 	return d->operator_port ? 0 : -1;
 }
 
-static void close_all(struct daemon *d)
+static void stop_modules(struct daemon *d)
 {
 	if (d->operator_port)
 		operator_destroy(d->operator_port);
@@ -257,7 +258,7 @@
 	fprintf(stderr, "toucanreeld: %s\n", text);
 }
 
-static int serve(const char *path, apr_pool_t *pool, bool check_only)
+static int run_daemon(const char *path, apr_pool_t *pool, bool check_only)
 {
 	struct daemon d = { 0 };
 	struct tr_error err = { 0 };
@@ -266,11 +267,11 @@
 	d.settings = settings_load(path, &err);
 	if (!d.settings || settings_secret(d.settings, &d.secret, &err)) {
 		print_error(&err);
-		close_all(&d);
+		stop_modules(&d);
 		return EXIT_USAGE;
 	}
 	if (check_only) {
-		close_all(&d);
+		stop_modules(&d);
 		return EXIT_SUCCESS;
 	}
 	memset(&err, 0, sizeof(err));
@@ -278,7 +279,7 @@
 	log_setup((enum log_level)d.settings->log_level, d.settings->log_json,
 		  d.settings->name);
 	d.loop = loop_new(pool);
-	if (!d.loop || init_board(&d) || open_ports(&d, &err)) {
+	if (!d.loop || init_board(&d) || start_modules(&d, &err)) {
 		print_error(&err);
 	} else {
 		loop_on_signals(d.loop, on_signal, &d);
@@ -287,13 +288,13 @@
 		log_info("serving on %s:%u", d.settings->address,
 			 d.settings->port);
 		step_config(&d);
-		step_services(&d);
+		periodic_step(&d);
 		sweep_requests(&d);
 		loop_run(d.loop);
 		log_info("stopped");
 		code = EXIT_SUCCESS;
 	}
-	close_all(&d);
+	stop_modules(&d);
 	if (d.loop)
 		loop_destroy(d.loop);
 	return code;
@@ -328,7 +329,7 @@
 	} else if (sodium_init() >= 0 && apr_initialize() == APR_SUCCESS &&
 		   !curl_global_init(CURL_GLOBAL_DEFAULT)) {
 		apr_pool_create(&pool, NULL);
-		code = serve(file->filename[0], pool, check->count > 0);
+		code = run_daemon(file->filename[0], pool, check->count > 0);
 		apr_pool_destroy(pool);
 		curl_global_cleanup();
 		apr_terminate();
