--- a/src/arrive.c
+++ b/src/arrive.c
@@ -71,8 +71,10 @@
 	       len;
 }
 
-/* Reads the service's name from the path /s/NAME/..., or from the first label
- * of the Host header. */
+/*
+ * Reads the service's name from the path /s/NAME/..., or from the first label
+ * of the Host header.
+ */
 static bool parse_service_name(struct request *r)
 {
 	const char *host = request_header(r, "Host");
--- a/src/reply.c
+++ b/src/reply.c
@@ -30,8 +30,8 @@
 
 /*
  * MHD's callback for the next bytes of a streamed body. If the target's answer
- * was cut off, the caller's connection is reset, so that the caller does not
- * take the part for the whole.
+ * was cut off, the caller's connection is closed with an error, so that the
+ * caller does not take the part for the whole.
  */
 static ssize_t read_body(void *ctx, uint64_t pos, char *buf, size_t max)
 {
--- a/src/toucanreel_target.c
+++ b/src/toucanreel_target.c
@@ -38,9 +38,9 @@
 	FAULT_GRAY,	/* requests hang, health checks pass */
 	FAULT_SLOW,	/* work takes slow_factor times as long */
 	FAULT_ERROR,	/* status 500 */
-	FAULT_TRUNCATE, /* half of the body, then a reset */
+	FAULT_TRUNCATE, /* closes after half of the body */
 	FAULT_GARBAGE,	/* not HTTP */
-	FAULT_RESET,	/* closes the connection after it began to run */
+	FAULT_RESET,	/* runs the request, closes without an answer */
 	FAULT_FLAP,	/* alternates between gray and ok */
 	FAULT_SOME,	/* gray for some clients only */
 	FAULT_NOISE,	/* the rare errors and stalls of a healthy target */
