--- a/src/cmd_explain.c
+++ b/src/cmd_explain.c
@@ -10,28 +10,32 @@
 	int code = EXIT_SUCCESS;
 
 	for (int i = 0; i < ids->count; i++) {
-		struct explain_story story;
+		struct explain_report report;
 
-		if (explain(lines, ids->sval[i], &story)) {
-			explain_print(lines, &story, stdout);
+		if (explain(lines, ids->sval[i], &report)) {
+			explain_print(lines, &report, stdout);
 			continue;
 		}
-		fprintf(stderr, "explain: %s: no line has this id\n",
+		fprintf(stderr,
+			"explain: %s: no request with this id in the logs\n",
 			ids->sval[i]);
 		code = EXIT_FOUND_FAULT;
 	}
 	return code;
 }
 
-/* toucanreel explain: 0, 1 when an id is not in the logs, 2 for wrong usage. */
+/*
+ * toucanreel explain. Returns 0, EXIT_FOUND_FAULT if an id is not in the logs,
+ * or EXIT_USAGE.
+ */
 int command_explain(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_file *logs =
 		arg_filen(NULL, "logs", "FILE", 1, 512,
-			  "a VM's log, or '-'; may be repeated");
+			  "log of a VM, or '-' for stdin; may be repeated");
 	struct arg_str *ids =
-		arg_strn(NULL, NULL, "ID", 1, 64, "requests, by their id");
+		arg_strn(NULL, NULL, "ID", 1, 64, "ids of requests");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, logs, ids, end };
 	GPtrArray *lines = loglines_new();
--- a/src/explain.c
+++ b/src/explain.c
@@ -1,40 +1,41 @@
 /*
- * From a request's id to its cause, by the logs of all VMs: what the VM that
- * took it knew, and what others saw of the same target at the same time.
+ * Attributes a request to a cause from the logs of all VMs: it compares what
+ * the VM that handled the request knew with what other VMs saw of the same
+ * targets at the same time.
  */
 #include "explain.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* How far before the request's start and behind its end other VMs' outcomes at
- * its targets are looked at, in seconds: a gray spell lasts some seconds, and
- * one that hangs shows only after as long as a request may take. */
-#define SPAN_S 3.0
-/* What happened to the VM itself counts from so long before the start. */
-#define DISTURBED_S 2.0
-/* A list that is older than this is no current one: readers vouch for it twice
- * a second. */
-#define OLD_VIEW_MS 2000
-/* A request that ran out of time before so many times the usual had passed
- * tells nothing of its target. */
-#define LONG_TIMES 2.0
-/* Time in which a new configuration is to be known to all VMs. */
-#define ROUTES_S 2.0
+/* Other requests at the same targets are counted from this many seconds before
+ * the request's start to as many after its end. A gray failure lasts several
+ * seconds, and a hanging target shows only when requests time out. */
+#define OUTCOME_WINDOW_S 3.0
+/* Events of the VM itself count from this many seconds before the start. */
+#define VM_EVENT_WINDOW_S 2.0
+/* A target list is stale if it was not confirmed for longer than this; readers
+ * confirm it twice a second. */
+#define STALE_LIST_MS 2000
+/* A request that timed out before this multiple of the usual latency is no
+ * evidence against its target. */
+#define USUAL_LATENCY_FACTOR 2.0
+/* A new configuration must have reached all VMs after this many seconds. */
+#define CONFIG_PROPAGATION_S 2.0
 
 static bool is_event(const struct logline *line, const char *event)
 {
 	return !strcmp(logline_get(line, "event"), event);
 }
 
-static bool is_at_vm(const struct logline *line, const struct logline *other)
+static bool is_same_vm(const struct logline *line, const struct logline *other)
 {
 	return !strcmp(logline_get(line, "vm"), logline_get(other, "vm"));
 }
 
-static double began(const struct logline *end)
+static double start_time(const struct logline *request)
 {
-	return end->at - logline_number(end, "took_ms") / 1000;
+	return request->time - logline_number(request, "took_ms") / 1000;
 }
 
 static bool has_failed(const struct logline *line)
@@ -42,28 +43,30 @@
 	return logline_number(line, "status") >= 500;
 }
 
-/* "i-1:0.05:2,i-2:0.30:0": the targets tried, their risk, what was there. */
-static void read_tried(struct explain_story *story)
+/* Parses "i-1:0.05:2,i-2:0.30:0": each target that was tried, its probability
+ * of being gray, and the requests in flight to it. */
+static void parse_tried(struct explain_report *report)
 {
 	g_auto(GStrv) parts =
-		g_strsplit(logline_get(story->end, "tried"), ",", -1);
+		g_strsplit(logline_get(report->request, "tried"), ",", -1);
 
 	for (char **p = parts;
-	     *p && **p && story->tried_count < G_N_ELEMENTS(story->tried);
+	     *p && **p && report->tried_count < G_N_ELEMENTS(report->tried);
 	     p++) {
-		struct explain_target *t = &story->tried[story->tried_count++];
+		struct explain_target *t =
+			&report->tried[report->tried_count++];
 		g_auto(GStrv) words = g_strsplit(*p, ":", -1);
 		guint n = g_strv_length(words);
 
 		g_strlcpy(t->id, words[0], sizeof(t->id));
 		t->risk = n > 1 ? g_ascii_strtod(words[1], NULL) : 0;
-		t->there = n > 2 ? (unsigned)atoi(words[2]) : 0;
+		t->in_flight = n > 2 ? (unsigned)atoi(words[2]) : 0;
 	}
 }
 
-/* Was the target the last one that the line's request was sent to? Of those
- * before it the line does not say how they ended. */
-static bool ended_at(const struct logline *line, const char *target)
+/* Whether the target was the last one that the request was sent to. The line
+ * does not record the results of earlier attempts. */
+static bool last_target_is(const struct logline *line, const char *target)
 {
 	const char *tried = logline_get(line, "tried");
 	const char *last = strrchr(tried, ',');
@@ -73,19 +76,20 @@
 	return !strncmp(last, target, len) && last[len] == ':';
 }
 
-static void look_at_target(const GPtrArray *lines,
-			   const struct explain_story *story,
-			   struct explain_target *t)
+static void count_target_outcomes(const GPtrArray *lines,
+				  const struct explain_report *report,
+				  struct explain_target *t)
 {
 	GHashTable *vms = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (guint i = 0; i < lines->len; i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
 
-		if (line == story->end || !is_event(line, "request") ||
-		    !ended_at(line, t->id) ||
-		    line->at < began(story->end) - SPAN_S ||
-		    began(line) > story->end->at + SPAN_S)
+		if (line == report->request || !is_event(line, "request") ||
+		    !last_target_is(line, t->id) ||
+		    line->time <
+			    start_time(report->request) - OUTCOME_WINDOW_S ||
+		    start_time(line) > report->request->time + OUTCOME_WINDOW_S)
 			continue;
 		if (!has_failed(line)) {
 			t->answered++;
@@ -94,33 +98,34 @@
 		t->failed++;
 		g_hash_table_add(vms, (gpointer)logline_get(line, "vm"));
 	}
-	t->vms_failed = g_hash_table_size(vms);
+	t->vms_with_failures = g_hash_table_size(vms);
 	g_hash_table_destroy(vms);
 }
 
-/* Which configuration the VM had, and whether others had a newer one well
- * before the request came. */
-static void look_at_routes(const GPtrArray *lines, struct explain_story *story)
+/* Finds when the VM loaded its configuration, and whether other VMs had a newer
+ * version before the request started. */
+static void find_config_versions(const GPtrArray *lines,
+				 struct explain_report *report)
 {
-	double version = logline_number(story->end, "version");
-	double start = began(story->end);
+	double version = logline_number(report->request, "version");
+	double start = start_time(report->request);
 
 	for (guint i = 0; i < lines->len; i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
 		double v = logline_number(line, "version");
 
-		if (!is_event(line, "routes") || line->at > start)
+		if (!is_event(line, "routes") || line->time > start)
 			continue;
-		if (is_at_vm(line, story->end) && v == version)
-			story->routes = line;
-		if (v > version && !story->newest_version)
-			story->newer_routes_elsewhere = start - line->at;
-		if (v > story->newest_version && v > version)
-			story->newest_version = (unsigned)v;
+		if (is_same_vm(line, report->request) && v == version)
+			report->config_line = line;
+		if (v > version && !report->newer_version)
+			report->newer_config_age_s = start - line->time;
+		if (v > report->newer_version && v > version)
+			report->newer_version = (unsigned)v;
 	}
 }
 
-static void look_at_vm(const GPtrArray *lines, struct explain_story *story)
+static void find_vm_event(const GPtrArray *lines, struct explain_report *report)
 {
 	static const char *const events[] = { "paused", "start", "stop",
 					      "store-lost", "history-lost" };
@@ -128,157 +133,167 @@
 	for (guint i = 0; i < lines->len; i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
 
-		if (!is_at_vm(line, story->end) ||
-		    line->at < began(story->end) - DISTURBED_S ||
-		    line->at > story->end->at)
+		if (!is_same_vm(line, report->request) ||
+		    line->time <
+			    start_time(report->request) - VM_EVENT_WINDOW_S ||
+		    line->time > report->request->time)
 			continue;
 		for (size_t k = 0; k < G_N_ELEMENTS(events); k++)
 			if (is_event(line, events[k]))
-				story->disturbance = line;
+				report->vm_event = line;
 	}
 }
 
-/* The first line by which the request is refused for the targets that ended
- * under it, at any VM. */
-static void look_at_identity(const GPtrArray *lines,
-			     struct explain_story *story)
+/* Finds the first line of any VM that refuses the request because targets
+ * crashed while they ran it. */
+static void find_fatal_event(const GPtrArray *lines,
+			     struct explain_report *report)
 {
-	const char *identity = logline_get(story->end, "identity");
+	const char *identity = logline_get(report->request, "identity");
 
-	for (guint i = 0; i < lines->len && *identity && !story->fatal; i++) {
+	for (guint i = 0; i < lines->len && *identity && !report->fatal_event;
+	     i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
 
 		if (is_event(line, "fatal-request") &&
 		    !strcmp(logline_get(line, "state"), "refused") &&
 		    !strcmp(logline_get(line, "identity"), identity))
-			story->fatal = line;
+			report->fatal_event = line;
 	}
 }
 
-static bool is_why(const struct explain_story *story, const char *why)
+static bool has_reason(const struct explain_report *report, const char *why)
 {
-	return !strcmp(logline_get(story->end, "why"), why);
+	return !strcmp(logline_get(report->request, "why"), why);
 }
 
-static enum explain_cause cause_at_target(const struct explain_story *story)
+static enum explain_cause target_cause(const struct explain_report *report)
 {
-	const struct explain_target *t = &story->tried[story->tried_count - 1];
-
-	if (t->vms_failed > 1 || t->failed > t->answered)
-		return EXPLAIN_TARGET_SICK;
-	if (is_why(story, "unreached") && t->answered)
-		return EXPLAIN_PATH;
-	if (is_why(story, "timeout") &&
-	    logline_number(story->end, "took_ms") <
-		    LONG_TIMES * logline_number(story->end, "usual_ms"))
-		return EXPLAIN_SHORT_TIME;
-	return EXPLAIN_TARGET_ONCE;
+	const struct explain_target *t =
+		&report->tried[report->tried_count - 1];
+
+	if (t->vms_with_failures > 1 || t->failed > t->answered)
+		return EXPLAIN_TARGET_FAILING;
+	if (has_reason(report, "unreached") && t->answered)
+		return EXPLAIN_TARGET_UNREACHABLE;
+	if (has_reason(report, "timeout") &&
+	    logline_number(report->request, "took_ms") <
+		    USUAL_LATENCY_FACTOR *
+			    logline_number(report->request, "usual_ms"))
+		return EXPLAIN_DEADLINE_TOO_SHORT;
+	return EXPLAIN_SINGLE_FAILURE;
 }
 
-/* Refused for its key or its organisation, before it had a target. */
-static enum explain_cause cause_at_key(const struct explain_story *story)
+/* Rejected for its key or its organisation, before a target was chosen. */
+static enum explain_cause key_cause(const struct explain_report *report)
 {
-	if (is_why(story, "over-limit"))
-		return EXPLAIN_OVER_LIMIT;
-	if (is_why(story, "unproven"))
-		return EXPLAIN_UNPROVEN;
-	return is_why(story, "unknown-key") ? EXPLAIN_UNKNOWN_KEY
-					    : EXPLAIN_UNKNOWN;
+	if (has_reason(report, "over-limit"))
+		return EXPLAIN_ORGANISATION_LIMIT;
+	if (has_reason(report, "unproven"))
+		return EXPLAIN_KEYS_UNVERIFIED;
+	return has_reason(report, "unknown-key") ? EXPLAIN_UNKNOWN_KEY
+						 : EXPLAIN_UNKNOWN;
 }
 
-static enum explain_cause cause_of(const struct explain_story *story)
+static enum explain_cause find_cause(const struct explain_report *report)
 {
-	double status = logline_number(story->end, "status");
-	enum explain_cause at_key = cause_at_key(story);
+	double status = logline_number(report->request, "status");
+	enum explain_cause from_key = key_cause(report);
 
-	if (at_key != EXPLAIN_UNKNOWN)
-		return at_key;
+	if (from_key != EXPLAIN_UNKNOWN)
+		return from_key;
 
-	if (is_why(story, "crashes-targets"))
+	if (has_reason(report, "crashes-targets"))
 		return EXPLAIN_FATAL_REFUSED;
-	if (is_why(story, "broken") && story->fatal)
+	if (has_reason(report, "broken") && report->fatal_event)
 		return EXPLAIN_FATAL;
 	if (status == 499)
-		return EXPLAIN_CALLER_LEFT;
+		return EXPLAIN_CALLER_DISCONNECTED;
 	if (status == 404)
-		return story->newest_version ? EXPLAIN_OLD_ROUTES
+		return report->newer_version ? EXPLAIN_STALE_CONFIG
 					     : EXPLAIN_NO_ROUTE;
-	if (story->newest_version && story->newer_routes_elsewhere > ROUTES_S)
-		return EXPLAIN_OLD_ROUTES;
+	if (report->newer_version &&
+	    report->newer_config_age_s > CONFIG_PROPAGATION_S)
+		return EXPLAIN_STALE_CONFIG;
 	if (status < 400)
 		return EXPLAIN_SERVED;
-	if (is_why(story, "no-target") ||
-	    logline_number(story->end, "view_age_ms") > OLD_VIEW_MS)
-		return EXPLAIN_NO_LIST;
-	if (is_why(story, "too-late"))
-		return EXPLAIN_NO_ROOM;
-	if (is_why(story, "limited"))
-		return EXPLAIN_LIMITED;
-	if (is_why(story, "refused") || is_why(story, "all-tried") ||
-	    is_why(story, "resting"))
+	if (has_reason(report, "no-target") ||
+	    logline_number(report->request, "view_age_ms") > STALE_LIST_MS)
+		return EXPLAIN_STALE_TARGET_LIST;
+	if (has_reason(report, "too-late"))
+		return EXPLAIN_NO_FREE_SLOT;
+	if (has_reason(report, "limited"))
+		return EXPLAIN_TARGET_LIMITS;
+	if (has_reason(report, "refused") || has_reason(report, "all-tried") ||
+	    has_reason(report, "resting"))
 		return EXPLAIN_SHED;
-	if (story->disturbance && is_event(story->disturbance, "paused"))
-		return EXPLAIN_VM;
-	if (story->tried_count)
-		return cause_at_target(story);
+	if (report->vm_event && is_event(report->vm_event, "paused"))
+		return EXPLAIN_VM_PAUSED;
+	if (report->tried_count)
+		return target_cause(report);
 	return EXPLAIN_UNKNOWN;
 }
 
-/* Fill in the story of the request. False when no line has its id. */
+/* Fills in the report. Returns false if no line has the request's id. */
 bool explain(const GPtrArray *lines, const char *id,
-	     struct explain_story *story)
+	     struct explain_report *report)
 {
-	memset(story, 0, sizeof(*story));
+	memset(report, 0, sizeof(*report));
 	for (guint i = 0; i < lines->len; i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
 
 		if (is_event(line, "request") &&
 		    !strcmp(logline_get(line, "id"), id))
-			story->end = line;
+			report->request = line;
 	}
-	if (!story->end)
+	if (!report->request)
 		return false;
-	read_tried(story);
-	for (unsigned i = 0; i < story->tried_count; i++)
-		look_at_target(lines, story, &story->tried[i]);
-	look_at_routes(lines, story);
-	look_at_vm(lines, story);
-	look_at_identity(lines, story);
-	story->cause = cause_of(story);
+	parse_tried(report);
+	for (unsigned i = 0; i < report->tried_count; i++)
+		count_target_outcomes(lines, report, &report->tried[i]);
+	find_config_versions(lines, report);
+	find_vm_event(lines, report);
+	find_fatal_event(lines, report);
+	report->cause = find_cause(report);
 	return true;
 }
 
-/* A sentence for whoever is on call. */
+/* Describes a cause to an operator. docs/OPERATIONS.md quotes these texts. */
 const char *explain_cause_text(enum explain_cause cause)
 {
 	static const char *const texts[] = {
-		[EXPLAIN_SERVED] = "it was served",
-		[EXPLAIN_CALLER_LEFT] = "the caller left before the answer",
-		[EXPLAIN_TARGET_SICK] =
+		[EXPLAIN_SERVED] = "the request was served",
+		[EXPLAIN_CALLER_DISCONNECTED] =
+			"the caller disconnected before the response",
+		[EXPLAIN_TARGET_FAILING] =
 			"the target was sick: other requests failed there too",
-		[EXPLAIN_TARGET_ONCE] = "the target failed this request alone",
-		[EXPLAIN_PATH] =
+		[EXPLAIN_SINGLE_FAILURE] =
+			"the target failed only this request",
+		[EXPLAIN_TARGET_UNREACHABLE] =
 			"the path from this VM: others reached the target",
-		[EXPLAIN_SHORT_TIME] =
-			"it had hardly more time than the work usually takes",
-		[EXPLAIN_NO_ROOM] =
+		[EXPLAIN_DEADLINE_TOO_SHORT] =
+			"its deadline was too close to the usual latency",
+		[EXPLAIN_NO_FREE_SLOT] =
 			"no slot would have been free within its aim",
-		[EXPLAIN_LIMITED] =
-			"its targets had as much as the limits they named",
+		[EXPLAIN_TARGET_LIMITS] =
+			"all targets had reached the limits they announced",
 		[EXPLAIN_SHED] = "the targets rejected it without running it",
-		[EXPLAIN_NO_LIST] = "this VM had no current list of targets",
-		[EXPLAIN_OLD_ROUTES] =
+		[EXPLAIN_STALE_TARGET_LIST] =
+			"this VM had no current list of targets",
+		[EXPLAIN_STALE_CONFIG] =
 			"this VM had an older configuration than others",
 		[EXPLAIN_NO_ROUTE] = "no configuration has a route for it",
-		[EXPLAIN_OVER_LIMIT] = "its organisation had used up its limit",
-		[EXPLAIN_UNPROVEN] =
-			"this VM could not prove that keys still hold",
-		[EXPLAIN_UNKNOWN_KEY] = "no configuration here holds its key",
-		[EXPLAIN_FATAL] = "the targets that ran it ended under it",
+		[EXPLAIN_ORGANISATION_LIMIT] =
+			"its organisation exceeded its rate limit",
+		[EXPLAIN_KEYS_UNVERIFIED] =
+			"this VM could not verify that keys are still valid",
+		[EXPLAIN_UNKNOWN_KEY] =
+			"its key is not in this VM's configuration",
+		[EXPLAIN_FATAL] = "the targets that ran it crashed",
 		[EXPLAIN_FATAL_REFUSED] =
-			"targets ended under it, so no VM sends it on",
-		[EXPLAIN_VM] = "this VM stood still",
-		[EXPLAIN_UNKNOWN] = "the logs do not tell",
+			"it crashed targets before, so all VMs reject it",
+		[EXPLAIN_VM_PAUSED] = "this VM was paused",
+		[EXPLAIN_UNKNOWN] = "unknown: the logs do not show a cause",
 	};
 
 	return texts[cause];
@@ -291,7 +306,7 @@
 		"why",	 "for_ms",  "targets", "as_of",	  "failures", "status",
 	};
 
-	fprintf(out, "  %+8.3f s  %-20s %s", line->at - start,
+	fprintf(out, "  %+8.3f s  %-20s %s", line->time - start,
 		logline_get(line, "vm"), logline_get(line, "event"));
 	for (size_t i = 0; i < G_N_ELEMENTS(shown); i++)
 		if (*logline_get(line, shown[i]))
@@ -300,24 +315,24 @@
 	fputc('\n', out);
 }
 
-/* The lines of this VM that changed what it believed of the request's targets,
- * the last one before its start for each. */
-static void print_beliefs(const GPtrArray *lines,
-			  const struct explain_story *story, FILE *out)
+/* Prints, for each target that was tried, the VM's last change of the target's
+ * state before the request started. */
+static void print_target_states(const GPtrArray *lines,
+				const struct explain_report *report, FILE *out)
 {
-	double start = began(story->end);
+	double start = start_time(report->request);
 
-	for (unsigned t = 0; t < story->tried_count; t++) {
+	for (unsigned t = 0; t < report->tried_count; t++) {
 		const struct logline *last = NULL;
 
 		for (guint i = 0; i < lines->len; i++) {
 			const struct logline *line =
 				g_ptr_array_index(lines, i);
 
-			if (is_event(line, "target") && line->at <= start &&
-			    is_at_vm(line, story->end) &&
+			if (is_event(line, "target") && line->time <= start &&
+			    is_same_vm(line, report->request) &&
 			    !strcmp(logline_get(line, "id"),
-				    story->tried[t].id))
+				    report->tried[t].id))
 				last = line;
 		}
 		if (last)
@@ -325,70 +340,74 @@
 	}
 }
 
-static void print_limit(const struct logline *end, FILE *out)
+static void print_limit(const struct logline *request, FILE *out)
 {
 	fprintf(out,
-		"taken by %s for %s: limit %s a second and a burst of %s; in "
-		"this data centre %s a second came, its part of the limit is "
-		"%s, and %s were let through in the window; %s of the fleet "
-		"was heard\n",
-		logline_get(end, "vm"), logline_get(end, "organisation"),
-		logline_get(end, "limit"), logline_get(end, "burst"),
-		logline_get(end, "group_rate"), logline_get(end, "part"),
-		logline_get(end, "used"), logline_get(end, "heard"));
+		"taken by %s for %s: limit %s requests/s, burst %s; this data "
+		"centre received %s requests/s, its share of the limit is %s, "
+		"%s were admitted in the window; reports from %s of the "
+		"fleet\n",
+		logline_get(request, "vm"),
+		logline_get(request, "organisation"),
+		logline_get(request, "limit"), logline_get(request, "burst"),
+		logline_get(request, "group_rate"),
+		logline_get(request, "part"), logline_get(request, "used"),
+		logline_get(request, "heard"));
 }
 
-/* The story as text; times count from the request's start. */
-void explain_print(const GPtrArray *lines, const struct explain_story *story,
+/* Prints the report as text; times are relative to the request's start. */
+void explain_print(const GPtrArray *lines, const struct explain_report *report,
 		   FILE *out)
 {
-	const struct logline *end = story->end;
-	double start = began(end);
-
-	fprintf(out, "request %s: status %s, %s\n", logline_get(end, "id"),
-		logline_get(end, "status"), logline_get(end, "why"));
-	fprintf(out, "cause: %s\n", explain_cause_text(story->cause));
-	if (story->cause == EXPLAIN_OVER_LIMIT) {
-		print_limit(end, out);
+	const struct logline *request = report->request;
+	double start = start_time(request);
+
+	fprintf(out, "request %s: status %s, %s\n", logline_get(request, "id"),
+		logline_get(request, "status"), logline_get(request, "why"));
+	fprintf(out, "cause: %s\n", explain_cause_text(report->cause));
+	if (report->cause == EXPLAIN_ORGANISATION_LIMIT) {
+		print_limit(request, out);
 		return;
 	}
 	fprintf(out,
 		"taken by %s on route %s of %s, configuration %s, list %s ms "
 		"old\n",
-		logline_get(end, "vm"), logline_get(end, "route"),
-		logline_get(end, "service"), logline_get(end, "version"),
-		logline_get(end, "view_age_ms"));
+		logline_get(request, "vm"), logline_get(request, "route"),
+		logline_get(request, "service"),
+		logline_get(request, "version"),
+		logline_get(request, "view_age_ms"));
 	fprintf(out,
-		"took %s ms, %s ms were left, usual are %s ms, ran %s times\n",
-		logline_get(end, "took_ms"), logline_get(end, "left_ms"),
-		logline_get(end, "usual_ms"), logline_get(end, "runs"));
-	for (unsigned i = 0; i < story->tried_count; i++) {
-		const struct explain_target *t = &story->tried[i];
+		"took %s ms, %s ms left, usual latency %s ms, ran %s times\n",
+		logline_get(request, "took_ms"),
+		logline_get(request, "left_ms"),
+		logline_get(request, "usual_ms"), logline_get(request, "runs"));
+	for (unsigned i = 0; i < report->tried_count; i++) {
+		const struct explain_target *t = &report->tried[i];
 
 		fprintf(out,
 			"tried %s: chance of being gray %.2f, %u requests "
 			"there; around then %u others answered, %u failed at "
 			"%u VMs\n",
-			t->id, t->risk, t->there, t->answered, t->failed,
-			t->vms_failed);
+			t->id, t->risk, t->in_flight, t->answered, t->failed,
+			t->vms_with_failures);
 	}
-	if (story->fatal)
+	if (report->fatal_event)
 		fprintf(out,
-			"refused by all VMs from %.3f s on: under identity %s "
-			"%s targets had ended (%s)\n",
-			story->fatal->at - start,
-			logline_get(story->fatal, "identity"),
-			logline_get(story->fatal, "ends"),
-			logline_get(story->fatal, "targets"));
-	if (story->newest_version)
+			"rejected by all VMs from %.3f s on: requests with "
+			"identity %s crashed %s targets (%s)\n",
+			report->fatal_event->time - start,
+			logline_get(report->fatal_event, "identity"),
+			logline_get(report->fatal_event, "ends"),
+			logline_get(report->fatal_event, "targets"));
+	if (report->newer_version)
 		fprintf(out,
-			"configuration %u had been in force elsewhere for "
+			"configuration %u had been active elsewhere for "
 			"%.1f s\n",
-			story->newest_version, story->newer_routes_elsewhere);
-	fputs("what this VM had been told, in seconds from the start:\n", out);
-	if (story->routes)
-		print_line(story->routes, start, out);
-	print_beliefs(lines, story, out);
-	if (story->disturbance)
-		print_line(story->disturbance, start, out);
+			report->newer_version, report->newer_config_age_s);
+	fputs("state known to this VM, in seconds from the start:\n", out);
+	if (report->config_line)
+		print_line(report->config_line, start, out);
+	print_target_states(lines, report, out);
+	if (report->vm_event)
+		print_line(report->vm_event, start, out);
 }
--- a/src/explain.h
+++ b/src/explain.h
@@ -6,56 +6,67 @@
 
 #include "logline.h"
 
-/* What a request's failure is put down to. */
+/*
+ * Finds the cause of a single request's failure in the logs of all VMs, for
+ * "toucanreel explain".
+ */
+
+/* The cause that a request's result is attributed to. */
 enum explain_cause {
 	EXPLAIN_SERVED,
-	EXPLAIN_CALLER_LEFT,
-	EXPLAIN_TARGET_SICK,
-	EXPLAIN_TARGET_ONCE,
-	EXPLAIN_PATH,
-	EXPLAIN_SHORT_TIME,
-	EXPLAIN_NO_ROOM,
-	EXPLAIN_LIMITED,
+	EXPLAIN_CALLER_DISCONNECTED,
+	EXPLAIN_TARGET_FAILING,
+	EXPLAIN_SINGLE_FAILURE,
+	EXPLAIN_TARGET_UNREACHABLE,
+	EXPLAIN_DEADLINE_TOO_SHORT,
+	EXPLAIN_NO_FREE_SLOT,
+	EXPLAIN_TARGET_LIMITS,
 	EXPLAIN_SHED,
-	EXPLAIN_NO_LIST,
-	EXPLAIN_OLD_ROUTES,
+	EXPLAIN_STALE_TARGET_LIST,
+	EXPLAIN_STALE_CONFIG,
 	EXPLAIN_NO_ROUTE,
-	EXPLAIN_OVER_LIMIT,
-	EXPLAIN_UNPROVEN,
+	EXPLAIN_ORGANISATION_LIMIT,
+	EXPLAIN_KEYS_UNVERIFIED,
 	EXPLAIN_UNKNOWN_KEY,
 	EXPLAIN_FATAL,
 	EXPLAIN_FATAL_REFUSED,
-	EXPLAIN_VM,
+	EXPLAIN_VM_PAUSED,
 	EXPLAIN_UNKNOWN,
 };
 
-/* How a target did around a request, by the lines of all VMs. */
+/* The results of other requests at a target at about the same time. */
 struct explain_target {
 	char id[64];
-	double risk;
-	unsigned there;
+	double risk; /* of being gray, as estimated when it was chosen */
+	unsigned in_flight;
 	unsigned answered;
 	unsigned failed;
-	unsigned vms_failed;
+	unsigned vms_with_failures;
 };
 
-/* Everything that the logs hold of one request. */
-struct explain_story {
-	const struct logline *end;
+/* What the logs contain about one request; the lines belong to the caller. */
+struct explain_report {
+	/* The line that the VM wrote at the request's end. */
+	const struct logline *request;
 	struct explain_target tried[8];
 	unsigned tried_count;
-	const struct logline *routes;
-	double newer_routes_elsewhere;
-	unsigned newest_version;
-	const struct logline *disturbance;
-	const struct logline *fatal;
+	/* When the VM loaded the configuration that it used. */
+	const struct logline *config_line;
+	/* How long before the start another VM had a newer configuration, and
+	 * its version, or 0 if there was none. */
+	double newer_config_age_s;
+	unsigned newer_version;
+	/* A pause, start, stop or loss of state of the VM itself. */
+	const struct logline *vm_event;
+	/* When the request was first refused for crashing targets. */
+	const struct logline *fatal_event;
 	enum explain_cause cause;
 };
 
 bool explain(const GPtrArray *lines, const char *id,
-	     struct explain_story *story);
+	     struct explain_report *report);
 const char *explain_cause_text(enum explain_cause cause);
-void explain_print(const GPtrArray *lines, const struct explain_story *story,
+void explain_print(const GPtrArray *lines, const struct explain_report *report,
 		   FILE *out);
 
 #endif
--- a/src/logline.c
+++ b/src/logline.c
@@ -6,8 +6,8 @@
 
 #include "cleanup.h"
 
-/* Whatever a collector put before the line is left out. */
-#define FIRST_FIELD "time="
+/* A line starts here; a prefix that a log collector added is skipped. */
+#define LINE_START "time="
 
 static void free_line(gpointer p)
 {
@@ -22,8 +22,8 @@
 	return g_ptr_array_new_with_free_func(free_line);
 }
 
-/* The value that begins at text, with its quotes taken off; *end is behind. */
-static char *take_value(const char *text, const char **end)
+/* Copies the value at text without its quotes. *end is set behind it. */
+static char *parse_value(const char *text, const char **end)
 {
 	size_t len;
 
@@ -57,35 +57,36 @@
 		}
 		key = g_strndup(text, len);
 		g_hash_table_insert(line->fields, key,
-				    take_value(text + len + 1, &text));
+				    parse_value(text + len + 1, &text));
 	}
-	line->at = logline_number(line, "time");
+	line->time = logline_number(line, "time");
 	return line;
 }
 
-/* Append the log lines of a file; how many it had. Others are passed over. */
+/* Appends the event lines of a file and returns their number. Lines that are
+ * not events are skipped. */
 unsigned loglines_read(GPtrArray *lines, FILE *in)
 {
 	auto_free char *text = NULL;
-	size_t room = 0;
+	size_t capacity = 0;
 	unsigned n = 0;
 
-	while (getline(&text, &room, in) > 0) {
-		const char *at = strstr(text, FIRST_FIELD);
+	while (getline(&text, &capacity, in) > 0) {
+		const char *at = strstr(text, LINE_START);
 		struct logline *line;
 
 		if (!at || !strstr(at, " event="))
 			continue;
 		line = parse(at);
-		line->order = lines->len;
+		line->read_order = lines->len;
 		g_ptr_array_add(lines, line);
 		n++;
 	}
 	return n;
 }
 
-/* Append those of the file at the path, where "-" is the standard input. 0, or
- * -1 after saying why for the command. */
+/* Appends the event lines of the file at path, or of standard input for "-".
+ * Returns 0, or -1 after printing an error in the name of the command. */
 int loglines_read_file(GPtrArray *lines, const char *path, const char *command)
 {
 	FILE *in = strcmp(path, "-") ? fopen(path, "r") : stdin;
@@ -95,27 +96,28 @@
 		return -1;
 	}
 	if (!loglines_read(lines, in))
-		fprintf(stderr, "%s: %s: no line of a VM's log\n", command,
+		fprintf(stderr, "%s: %s: no log line of a VM found\n", command,
 			path);
 	if (in != stdin)
 		fclose(in);
 	return 0;
 }
 
-static gint compare(gconstpointer a, gconstpointer b)
+static gint compare_lines(gconstpointer a, gconstpointer b)
 {
 	const struct logline *x = *(struct logline *const *)a;
 	const struct logline *y = *(struct logline *const *)b;
 
-	if (x->at != y->at)
-		return x->at < y->at ? -1 : 1;
-	return x->order < y->order ? -1 : x->order > y->order;
+	if (x->time != y->time)
+		return x->time < y->time ? -1 : 1;
+	return x->read_order < y->read_order ? -1
+					     : x->read_order > y->read_order;
 }
 
 /*
- * Into the order in which they happened. A VM's own lines stay in theirs,
- * though its wall clock may jump back: the time of a line is at least that of
- * the VM's line before it.
+ * Sorts the lines of all VMs by time. Since a VM's wall clock may jump back,
+ * the time of each line is first raised to at least that of the same VM's
+ * previous line, so that the lines of one VM keep their order.
  */
 void loglines_sort(GPtrArray *lines)
 {
@@ -126,15 +128,15 @@
 		const char *vm = logline_get(line, "vm");
 		struct logline *before = g_hash_table_lookup(last, vm);
 
-		if (before && before->at > line->at)
-			line->at = before->at;
+		if (before && before->time > line->time)
+			line->time = before->time;
 		g_hash_table_insert(last, (gpointer)vm, line);
 	}
 	g_hash_table_destroy(last);
-	g_ptr_array_sort(lines, compare);
+	g_ptr_array_sort(lines, compare_lines);
 }
 
-/* "" when the line has no such field. */
+/* Returns the value of a field, or "" if the line has no such field. */
 const char *logline_get(const struct logline *line, const char *field)
 {
 	const char *value = g_hash_table_lookup(line->fields, field);
@@ -142,7 +144,7 @@
 	return value ? value : "";
 }
 
-/* 0 when the line has no such field. */
+/* Returns the number in a field, or 0 if the line has no such field. */
 double logline_number(const struct logline *line, const char *field)
 {
 	return g_ascii_strtod(logline_get(line, field), NULL);
--- a/src/logline.h
+++ b/src/logline.h
@@ -4,14 +4,19 @@
 #include <glib.h>
 #include <stdio.h>
 
-/* One line of a VM's log, taken apart. Times are seconds of its wall clock. */
+/*
+ * Parser for the key=value lines of VMs' logs, as read by the operators'
+ * commands.
+ */
+
+/* One parsed line. The time is in seconds of the VM's wall clock. */
 struct logline {
-	double at;
-	unsigned order;
+	double time;
+	unsigned read_order; /* breaks ties of time */
 	GHashTable *fields;
 };
 
-/* The lines of several VMs, merged; elements are struct logline. */
+/* The lines of several VMs; the elements are pointers to struct logline. */
 GPtrArray *loglines_new(void);
 unsigned loglines_read(GPtrArray *lines, FILE *in);
 int loglines_read_file(GPtrArray *lines, const char *path, const char *command);
--- a/src/losses.c
+++ b/src/losses.c
@@ -71,7 +71,7 @@
 
 static double began(const struct logline *line)
 {
-	return line->at - logline_number(line, "took_ms") / 1000;
+	return line->time - logline_number(line, "took_ms") / 1000;
 }
 
 static bool has_failed(const struct logline *line)
@@ -109,7 +109,7 @@
 
 	for (guint i = 0; i < lines->len; i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
-		struct failure f = { began(line), line->at };
+		struct failure f = { began(line), line->time };
 		GArray *list;
 		char id[64];
 		double risk;
@@ -138,7 +138,7 @@
 		const struct failure *f =
 			&g_array_index(failures, struct failure, i);
 
-		if (f->ended == line->at && f->began == start)
+		if (f->ended == line->time && f->began == start)
 			continue;
 		if (f->began <= start && f->ended > start - NEWS_S &&
 		    f->ended < start + SPELL_S)
