--- a/src/cmd_losses.c
+++ b/src/cmd_losses.c
@@ -41,18 +41,21 @@
 	calibration_print(&c, stdout);
 }
 
-/* toucanreel losses: 0, 1 when no request is in the logs, 2 for wrong usage. */
+/*
+ * toucanreel losses. Returns 0, EXIT_FOUND_FAULT if the logs hold no request,
+ * or EXIT_USAGE.
+ */
 int command_losses(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_file *logs =
 		arg_filen(NULL, "logs", "FILE", 1, 512,
-			  "a VM's log, or '-'; may be repeated");
+			  "log of a VM, or '-' for stdin; may be repeated");
 	struct arg_str *format =
 		arg_str0(NULL, "format", "text|json|svg", "default: text");
 	struct arg_lit *calibrate = arg_lit0(
 		NULL, "calibration",
-		"what was stated of targets against what happened there");
+		"compare estimated failure risks of targets with outcomes");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, logs, format, calibrate, end };
 	GPtrArray *lines = loglines_new();
--- a/src/losses.c
+++ b/src/losses.c
@@ -1,6 +1,7 @@
 /*
- * Where requests are lost, by the logs of all VMs: each one that was not served
- * is put down to what could have been known when its target was chosen.
+ * Attributes each request that was not served to a cause, from the logs of all
+ * VMs. The causes are distinguished by what could have been known when the
+ * request's target was chosen.
  */
 #include "losses.h"
 
@@ -8,54 +9,57 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* From this chance on a target was known to be gray when it was chosen. */
-#define KNOWN_RISK 0.3
-/* How long news of a failure takes to all VMs, in seconds: two turns of the
- * loop and a message that is handed on. */
-#define NEWS_S 0.06
-/* Failures at a target that are so far apart belong to one gray spell. */
-#define SPELL_S 3.0
+/* A target counts as known to be gray from this estimated probability on. */
+#define KNOWN_GRAY_RISK 0.3
+/* Time in seconds after which all VMs know of a failure: two iterations of the
+ * event loop and one forwarded message. */
+#define DETECTION_S 0.06
+/* Failures at a target within this many seconds belong to one gray failure. */
+#define GRAY_FAILURE_S 3.0
 
+/* A failed request at a target. */
 struct failure {
-	double began;
-	double ended;
+	double start_time;
+	double end_time;
 };
 
 static const struct {
-	const char *word;
-	const char *text;
-} causes[LOSS_CAUSES] = {
+	const char *name; /* in output and JSON */
+	const char *description;
+} causes[LOSS_CAUSE_COUNT] = {
 	[LOSS_TARGET_ERROR] = { "target-error",
-				"an error of the target's own, while well" },
+				"an isolated error of a healthy target" },
 	[LOSS_FIRST_AT_GRAY] = { "first-at-gray",
-				 "the first at a target that had turned gray" },
-	[LOSS_BEFORE_KNOWN] = { "before-known",
-				"sent before the first failure was known" },
-	[LOSS_FLOOR] = { "floor",
-			 "at a suspect that the floor asked a request for" },
-	[LOSS_SECOND_ATTEMPT] = { "second-attempt",
-				  "the last attempt, at a known suspect" },
+				 "the first failure at a gray target" },
+	[LOSS_BEFORE_DETECTED] = { "before-known",
+				   "sent before the first failure was known" },
+	[LOSS_FLOOR] = { "floor", "sent to a suspect to keep the floor" },
+	[LOSS_LAST_ATTEMPT] = { "second-attempt",
+				"the last attempt, sent to a known suspect" },
 	[LOSS_KNOWN_GRAY] = { "known-gray",
-			      "at a known suspect, with no better room" },
-	[LOSS_TIME_OVER] = { "time-over", "its time was over" },
+			      "at a known suspect; all others were full" },
+	[LOSS_TIMEOUT] = { "time-over", "its deadline passed" },
 	[LOSS_SHED] = { "shed", "targets rejected it without running it" },
 	[LOSS_FATAL] = { "fatal", "it crashes the targets that run it" },
-	[LOSS_BOUND] = { "bound", "the bound on repeats was reached" },
-	[LOSS_NO_ROOM] = { "no-room", "no slot would have been free in time" },
-	[LOSS_LIMITED] = { "limited", "all targets had named limits" },
-	[LOSS_PATH] = { "path", "no target could be reached from its VM" },
-	[LOSS_NO_LIST] = { "no-list", "its VM knew no targets" },
-	[LOSS_LATE] = { "late", "served, beyond its aim" },
+	[LOSS_REPEAT_BUDGET] = { "bound", "the repeat budget was used up" },
+	[LOSS_NO_FREE_SLOT] = { "no-room",
+				"no slot would have been free in time" },
+	[LOSS_TARGET_LIMITS] = { "limited",
+				 "all targets had announced limits" },
+	[LOSS_UNREACHABLE] = { "path",
+			       "no target could be reached from its VM" },
+	[LOSS_NO_TARGETS] = { "no-list", "its VM had no list of targets" },
+	[LOSS_LATE] = { "late", "served, but later than its target latency" },
 };
 
-const char *loss_cause_word(enum loss_cause cause)
+const char *loss_cause_name(enum loss_cause cause)
 {
-	return causes[cause].word;
+	return causes[cause].name;
 }
 
-const char *loss_cause_text(enum loss_cause cause)
+const char *loss_cause_description(enum loss_cause cause)
 {
-	return causes[cause].text;
+	return causes[cause].description;
 }
 
 static bool is_end_of_request(const struct logline *line)
@@ -64,12 +68,12 @@
 	       *logline_get(line, "service");
 }
 
-static bool is_why(const struct logline *line, const char *why)
+static bool has_reason(const struct logline *line, const char *why)
 {
 	return !strcmp(logline_get(line, "why"), why);
 }
 
-static double began(const struct logline *line)
+static double start_time(const struct logline *line)
 {
 	return line->time - logline_number(line, "took_ms") / 1000;
 }
@@ -79,9 +83,10 @@
 	return logline_number(line, "status") >= 500;
 }
 
-/* "i-1:0.05:2,i-2:0.30:0": the last target and its risk; false without one. */
-static bool last_tried(const struct logline *line, char *id, size_t size,
-		       double *risk)
+/* Parses the last target and its risk from a list such as
+ * "i-1:0.05:2,i-2:0.30:0". Returns false if the list is empty. */
+static bool parse_last_tried(const struct logline *line, char *id, size_t size,
+			     double *risk)
 {
 	const char *tried = logline_get(line, "tried");
 	const char *last = strrchr(tried, ',');
@@ -101,21 +106,22 @@
 	g_array_free(p, TRUE);
 }
 
-/* The failures at each target, in the order in which they ended. */
-static GHashTable *failures_by_target(const GPtrArray *lines)
+/* Maps each target's id to its failed requests, in the order in which they
+ * ended. */
+static GHashTable *collect_failures(const GPtrArray *lines)
 {
 	GHashTable *table = g_hash_table_new_full(g_str_hash, g_str_equal,
 						  g_free, free_array);
 
 	for (guint i = 0; i < lines->len; i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
-		struct failure f = { began(line), line->time };
+		struct failure f = { start_time(line), line->time };
 		GArray *list;
 		char id[64];
 		double risk;
 
 		if (!is_end_of_request(line) || !has_failed(line) ||
-		    !last_tried(line, id, sizeof(id), &risk))
+		    !parse_last_tried(line, id, sizeof(id), &risk))
 			continue;
 		list = g_hash_table_lookup(table, id);
 		if (!list) {
@@ -127,66 +133,70 @@
 	return table;
 }
 
-/* Of one at a target that was held to be well: what others failed there? */
-static enum loss_cause cause_at_well(const struct logline *line,
-				     const GArray *failures)
+/* The cause of a failure at a target that was not suspected to be gray, by the
+ * other failures there at about the same time. */
+static enum loss_cause unsuspected_target_cause(const struct logline *line,
+						const GArray *failures)
 {
-	double start = began(line);
+	double start = start_time(line);
 	bool later = false;
 
 	for (guint i = 0; failures && i < failures->len; i++) {
 		const struct failure *f =
 			&g_array_index(failures, struct failure, i);
 
-		if (f->ended == line->time && f->began == start)
+		if (f->end_time == line->time && f->start_time == start)
 			continue;
-		if (f->began <= start && f->ended > start - NEWS_S &&
-		    f->ended < start + SPELL_S)
-			return LOSS_BEFORE_KNOWN;
-		later |= f->began > start && f->began < start + SPELL_S;
+		if (f->start_time <= start &&
+		    f->end_time > start - DETECTION_S &&
+		    f->end_time < start + GRAY_FAILURE_S)
+			return LOSS_BEFORE_DETECTED;
+		later |= f->start_time > start &&
+			 f->start_time < start + GRAY_FAILURE_S;
 	}
 	if (later)
 		return LOSS_FIRST_AT_GRAY;
-	return is_why(line, "timeout") ? LOSS_TIME_OVER : LOSS_TARGET_ERROR;
+	return has_reason(line, "timeout") ? LOSS_TIMEOUT : LOSS_TARGET_ERROR;
 }
 
-static enum loss_cause cause_of(const struct logline *line,
-				GHashTable *failures)
+static enum loss_cause find_cause(const struct logline *line,
+				  GHashTable *failures)
 {
 	char id[64];
 	double risk;
 
-	if (is_why(line, "crashes-targets"))
+	if (has_reason(line, "crashes-targets"))
 		return LOSS_FATAL;
-	if (is_why(line, "no-target"))
-		return LOSS_NO_LIST;
-	if (is_why(line, "too-late"))
-		return LOSS_NO_ROOM;
-	if (is_why(line, "limited"))
-		return LOSS_LIMITED;
+	if (has_reason(line, "no-target"))
+		return LOSS_NO_TARGETS;
+	if (has_reason(line, "too-late"))
+		return LOSS_NO_FREE_SLOT;
+	if (has_reason(line, "limited"))
+		return LOSS_TARGET_LIMITS;
 	if (logline_number(line, "bound") > 0)
-		return LOSS_BOUND;
-	if (is_why(line, "refused") || is_why(line, "all-tried") ||
-	    is_why(line, "resting"))
+		return LOSS_REPEAT_BUDGET;
+	if (has_reason(line, "refused") || has_reason(line, "all-tried") ||
+	    has_reason(line, "resting"))
 		return LOSS_SHED;
-	if (is_why(line, "unreached"))
-		return LOSS_PATH;
-	if (!last_tried(line, id, sizeof(id), &risk))
-		return LOSS_TIME_OVER;
-	if (risk < KNOWN_RISK)
-		return cause_at_well(line, g_hash_table_lookup(failures, id));
+	if (has_reason(line, "unreached"))
+		return LOSS_UNREACHABLE;
+	if (!parse_last_tried(line, id, sizeof(id), &risk))
+		return LOSS_TIMEOUT;
+	if (risk < KNOWN_GRAY_RISK)
+		return unsuspected_target_cause(
+			line, g_hash_table_lookup(failures, id));
 	if (logline_number(line, "for_floor") > 0)
 		return LOSS_FLOOR;
-	return logline_number(line, "runs") > 1 ? LOSS_SECOND_ATTEMPT
+	return logline_number(line, "runs") > 1 ? LOSS_LAST_ATTEMPT
 						: LOSS_KNOWN_GRAY;
 }
 
-static struct loss_row *row_of(struct losses *losses,
-			       const struct logline *line)
+static struct loss_row *find_or_add_row(struct losses *losses,
+					const struct logline *line)
 {
 	const char *service = logline_get(line, "service");
 	const char *kind = logline_get(line, "kind");
-	struct loss_row row = { .asked = 0 };
+	struct loss_row row = { .requests = 0 };
 
 	for (guint i = 0; i < losses->rows->len; i++) {
 		struct loss_row *r =
@@ -202,23 +212,24 @@
 			      losses->rows->len - 1);
 }
 
-static struct loss_second *second_of(struct losses *losses, double at)
+static struct loss_second *find_or_add_second(struct losses *losses, double at)
 {
-	guint s = at > losses->first ? (guint)(at - losses->first) : 0;
+	guint s = at > losses->start ? (guint)(at - losses->start) : 0;
 
 	if (s >= losses->seconds->len)
 		g_array_set_size(losses->seconds, s + 1);
 	return &g_array_index(losses->seconds, struct loss_second, s);
 }
 
-/* Count what the lines tell; they have to be in order. For losses_free. */
+/* Counts the requests in the lines, which must be sorted by loglines_sort.
+ * Release the result with losses_free. */
 void losses_count(struct losses *losses, const GPtrArray *lines)
 {
-	GHashTable *failures = failures_by_target(lines);
+	GHashTable *failures = collect_failures(lines);
 
 	losses->rows = g_array_new(FALSE, TRUE, sizeof(struct loss_row));
 	losses->seconds = g_array_new(FALSE, TRUE, sizeof(struct loss_second));
-	losses->first = 0;
+	losses->start = 0;
 	for (guint i = 0; i < lines->len; i++) {
 		const struct logline *line = g_ptr_array_index(lines, i);
 		double aim = logline_number(line, "aim_ms");
@@ -228,14 +239,14 @@
 
 		if (!is_end_of_request(line))
 			continue;
-		if (losses->first <= 0)
-			losses->first = began(line);
-		row = row_of(losses, line);
-		second = second_of(losses, began(line));
-		row->asked++;
-		second->asked++;
+		if (losses->start <= 0)
+			losses->start = start_time(line);
+		row = find_or_add_row(losses, line);
+		second = find_or_add_second(losses, start_time(line));
+		row->requests++;
+		second->requests++;
 		if (has_failed(line))
-			cause = cause_of(line, failures);
+			cause = find_cause(line, failures);
 		else if (aim <= 0 || logline_number(line, "took_ms") <= aim)
 			continue;
 		row->lost[cause]++;
@@ -250,7 +261,7 @@
 	g_array_free(losses->seconds, TRUE);
 }
 
-static unsigned lost_in(const struct loss_row *row)
+static unsigned count_not_served(const struct loss_row *row)
 {
 	unsigned n = 0;
 
@@ -259,39 +270,40 @@
 	return n;
 }
 
-/* A table a kind of request, its causes by size. */
+/* Prints a table of causes for each service and kind of request. */
 void losses_print(const struct losses *losses, FILE *out)
 {
 	for (guint i = 0; i < losses->rows->len; i++) {
 		const struct loss_row *row =
 			&g_array_index(losses->rows, struct loss_row, i);
-		unsigned lost = lost_in(row);
+		unsigned lost = count_not_served(row);
 
-		fprintf(out, "%s, %s: %u asked, %u not served (%.2f%%)\n",
-			row->service, row->kind, row->asked, lost,
-			100.0 * lost / row->asked);
-		for (int c = 0; c < LOSS_CAUSES; c++)
+		fprintf(out, "%s, %s: %u requests, %u not served (%.2f%%)\n",
+			row->service, row->kind, row->requests, lost,
+			100.0 * lost / row->requests);
+		for (int c = 0; c < LOSS_CAUSE_COUNT; c++)
 			if (row->lost[c])
 				fprintf(out, "  %6u  %5.2f%%  %-15s %s\n",
 					row->lost[c],
-					100.0 * row->lost[c] / row->asked,
-					causes[c].word, causes[c].text);
+					100.0 * row->lost[c] / row->requests,
+					causes[c].name, causes[c].description);
 	}
 }
 
-static json_t *counts_json(unsigned asked, const unsigned lost[LOSS_CAUSES])
+static json_t *counts_json(unsigned requests,
+			   const unsigned lost[LOSS_CAUSE_COUNT])
 {
 	json_t *json = json_object();
 
-	json_object_set_new(json, "asked", json_integer(asked));
-	for (int c = 0; c < LOSS_CAUSES; c++)
+	json_object_set_new(json, "asked", json_integer(requests));
+	for (int c = 0; c < LOSS_CAUSE_COUNT; c++)
 		if (lost[c])
-			json_object_set_new(json, causes[c].word,
+			json_object_set_new(json, causes[c].name,
 					    json_integer(lost[c]));
 	return json;
 }
 
-/* All counts, by service and kind, and by second. */
+/* Returns all counts, by service and kind and by second. */
 json_t *losses_json(const struct losses *losses)
 {
 	json_t *rows = json_array();
@@ -300,7 +312,7 @@
 	for (guint i = 0; i < losses->rows->len; i++) {
 		const struct loss_row *row =
 			&g_array_index(losses->rows, struct loss_row, i);
-		json_t *json = counts_json(row->asked, row->lost);
+		json_t *json = counts_json(row->requests, row->lost);
 
 		json_object_set_new(json, "service", json_string(row->service));
 		json_object_set_new(json, "kind", json_string(row->kind));
@@ -310,8 +322,9 @@
 		const struct loss_second *s =
 			&g_array_index(losses->seconds, struct loss_second, i);
 
-		json_array_append_new(seconds, counts_json(s->asked, s->lost));
+		json_array_append_new(seconds,
+				      counts_json(s->requests, s->lost));
 	}
 	return json_pack("{s:o, s:o, s:f}", "kinds", rows, "seconds", seconds,
-			 "first", losses->first);
+			 "first", losses->start);
 }
--- a/src/losses.h
+++ b/src/losses.h
@@ -6,51 +6,56 @@
 
 #include "logline.h"
 
-/* What a request that was not served is put down to; LATE was served beyond its
- * aim. */
+/*
+ * Counts the requests that were not served, by cause, from the logs of all VMs,
+ * for "toucanreel losses".
+ */
+
+/* The causes of requests that were not served. Requests with LOSS_LATE were
+ * served, but took longer than their target latency. */
 enum loss_cause {
 	LOSS_TARGET_ERROR,
 	LOSS_FIRST_AT_GRAY,
-	LOSS_BEFORE_KNOWN,
+	LOSS_BEFORE_DETECTED,
 	LOSS_FLOOR,
-	LOSS_SECOND_ATTEMPT,
+	LOSS_LAST_ATTEMPT,
 	LOSS_KNOWN_GRAY,
-	LOSS_TIME_OVER,
+	LOSS_TIMEOUT,
 	LOSS_SHED,
 	LOSS_FATAL,
-	LOSS_BOUND,
-	LOSS_NO_ROOM,
-	LOSS_LIMITED,
-	LOSS_PATH,
-	LOSS_NO_LIST,
+	LOSS_REPEAT_BUDGET,
+	LOSS_NO_FREE_SLOT,
+	LOSS_TARGET_LIMITS,
+	LOSS_UNREACHABLE,
+	LOSS_NO_TARGETS,
 	LOSS_LATE,
-	LOSS_CAUSES,
+	LOSS_CAUSE_COUNT,
 };
 
-/* The requests of one kind for one service, and of one second of the logs. */
+/* The requests of one kind for one service. */
 struct loss_row {
 	char service[64];
 	char kind[16];
-	unsigned asked;
-	unsigned lost[LOSS_CAUSES];
+	unsigned requests;
+	unsigned lost[LOSS_CAUSE_COUNT];
 };
 
+/* The requests that started in one second of the logs. */
 struct loss_second {
-	unsigned asked;
-	unsigned lost[LOSS_CAUSES];
+	unsigned requests;
+	unsigned lost[LOSS_CAUSE_COUNT];
 };
 
-/* rows holds struct loss_row, seconds struct loss_second from the first on. */
 struct losses {
-	GArray *rows;
-	GArray *seconds;
-	double first;
+	GArray *rows;	 /* of struct loss_row */
+	GArray *seconds; /* of struct loss_second, from start on */
+	double start;	 /* in seconds of the wall clock */
 };
 
 void losses_count(struct losses *losses, const GPtrArray *lines);
 void losses_free(struct losses *losses);
-const char *loss_cause_word(enum loss_cause cause);
-const char *loss_cause_text(enum loss_cause cause);
+const char *loss_cause_name(enum loss_cause cause);
+const char *loss_cause_description(enum loss_cause cause);
 void losses_print(const struct losses *losses, FILE *out);
 json_t *losses_json(const struct losses *losses);
 char *losses_svg(const struct losses *losses);
