--- a/src/cmd_capacity.c
+++ b/src/cmd_capacity.c
@@ -8,10 +8,10 @@
 #include "command.h"
 #include "error.h"
 
-/* toucanreel capacity: what the sizes in a file cost each VM. */
+/* toucanreel capacity: estimates the cost per VM for the sizes in a file. */
 int command_capacity(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_file *file = arg_file1(NULL, NULL, "FILE",
 					  "sizes, slopes and budgets, in YAML");
 	struct arg_end *end = arg_end(8);
--- a/src/cmd_check.c
+++ b/src/cmd_check.c
@@ -12,8 +12,8 @@
 #include "error.h"
 #include "yamlfile.h"
 
-static void say_text(const char *path, const struct tr_document *doc,
-		     const struct tr_error *err)
+static void print_text(const char *path, const struct tr_document *doc,
+		       const struct tr_error *err)
 {
 	char text[512];
 
@@ -26,8 +26,8 @@
 	printf("%s\n", text);
 }
 
-static void say_json(const char *path, const struct tr_document *doc,
-		     const struct tr_error *err)
+static void print_json(const char *path, const struct tr_document *doc,
+		       const struct tr_error *err)
 {
 	auto_json json_t *line = NULL;
 	auto_free char *text = NULL;
@@ -56,9 +56,9 @@
 	if (text)
 		doc = docfile_parse(text, len, path, &err);
 	if (json)
-		say_json(path, doc, &err);
+		print_json(path, doc, &err);
 	else
-		say_text(path, doc, &err);
+		print_text(path, doc, &err);
 	if (!doc)
 		code = err.code == TR_FILE_UNREADABLE ? EXIT_USAGE
 						      : EXIT_FOUND_FAULT;
@@ -66,12 +66,15 @@
 	return code;
 }
 
-/* toucanreel check: 0 all are good, 1 one is not, 2 one can't be read. */
+/*
+ * toucanreel check. Returns 0 if all documents are valid, EXIT_FOUND_FAULT if
+ * one is not, or EXIT_USAGE if one cannot be read.
+ */
 int command_check(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_str *format =
-		arg_str0(NULL, "format", "text|json", "how to answer (text)");
+		arg_str0(NULL, "format", "text|json", "output format (text)");
 	struct arg_file *files = arg_filen(NULL, NULL, "DOCUMENT", 1, 512,
 					   "documents to validate");
 	struct arg_end *end = arg_end(8);
@@ -89,11 +92,11 @@
 		goto done;
 	}
 	for (int i = 0; i < files->count; i++) {
-		int one = check_file(files->filename[i],
-				     format->count &&
-					     !strcmp(format->sval[0], "json"));
+		int result = check_file(
+			files->filename[i],
+			format->count && !strcmp(format->sval[0], "json"));
 
-		code = one > code ? one : code;
+		code = result > code ? result : code;
 	}
 done:
 	arg_freetable(table, sizeof(table) / sizeof(table[0]));
--- a/src/cmd_lookup.c
+++ b/src/cmd_lookup.c
@@ -10,16 +10,18 @@
 #include "loop.h"
 #include "standin.h"
 
-/* toucanreel lookup: what a caller would be told. */
+/* toucanreel lookup: prints the response that a caller would get. */
 int command_lookup(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_str *entry = arg_str1(NULL, "entry", "IP:PORT",
-					 "callers' address of any VM");
-	struct arg_str *service = arg_str1(NULL, "service", "NAME", "service");
+					 "address of any VM for callers");
+	struct arg_str *service =
+		arg_str1(NULL, "service", "NAME", "name of the service");
 	struct arg_str *centre = arg_str0(NULL, "data-centre", "NAME",
 					  "the caller's data centre");
-	struct arg_int *keys = arg_int0(NULL, "keys", "N", "keys to mint");
+	struct arg_int *keys =
+		arg_int0(NULL, "keys", "N", "number of keys to mint");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, entry, service, centre, keys, end };
 	struct standin s;
@@ -46,7 +48,7 @@
 		printf("\n");
 		code = EXIT_SUCCESS;
 	} else {
-		fprintf(stderr, "lookup: %s: no answer for service '%s'\n",
+		fprintf(stderr, "lookup: %s: no response for service '%s'\n",
 			entry->sval[0], service->sval[0]);
 		code = EXIT_FOUND_FAULT;
 	}
--- a/src/cmd_status.c
+++ b/src/cmd_status.c
@@ -14,34 +14,34 @@
 #define WATCH_PERIOD TR_SEC(1)
 #define CLEAR_SCREEN "\033[H\033[2J"
 
-static const char *text_of(json_t *object, const char *key)
+static const char *get_text(json_t *object, const char *key)
 {
 	const char *text = json_string_value(json_object_get(object, key));
 
 	return text ? text : "";
 }
 
-static long number_of(json_t *object, const char *key)
+static long get_number(json_t *object, const char *key)
 {
 	return (long)json_integer_value(json_object_get(object, key));
 }
 
-static json_t *find_named(json_t *list, const char *name)
+static json_t *find_by_name(json_t *list, const char *name)
 {
 	size_t i;
 	json_t *row;
 
 	json_array_foreach(list, i, row)
 	{
-		if (!strcmp(text_of(row, "name"), name))
+		if (!strcmp(get_text(row, "name"), name))
 			return row;
 	}
 	return NULL;
 }
 
-static json_t *service_of(json_t *vm, const char *name)
+static json_t *find_service(json_t *vm, const char *name)
 {
-	return find_named(json_object_get(vm, "services"), name);
+	return find_by_name(json_object_get(vm, "services"), name);
 }
 
 static void print_vm(json_t *vm)
@@ -53,133 +53,132 @@
 	json_t *svc;
 
 	printf("%-20s %-8s %-22s %8ld %8ld %8ld %8ld %6ld  %-4s ",
-	       text_of(vm, "vm"), text_of(vm, "data_centre"),
-	       text_of(vm, "state"), number_of(proxy, "requests"),
-	       number_of(proxy, "answered"), number_of(proxy, "not_run"),
-	       number_of(proxy, "unknown"), number_of(proxy, "in_flight"),
+	       get_text(vm, "vm"), get_text(vm, "data_centre"),
+	       get_text(vm, "state"), get_number(proxy, "requests"),
+	       get_number(proxy, "answered"), get_number(proxy, "not_run"),
+	       get_number(proxy, "unknown"), get_number(proxy, "in_flight"),
 	       json_is_true(json_object_get(platform, "up")) ? "up" : "DOWN");
 	json_array_foreach(list, i, svc)
 	{
 		if (!json_is_true(json_object_get(svc, "in_cell")))
 			continue;
-		printf(" %s%s", text_of(svc, "name"),
+		printf(" %s%s", get_text(svc, "name"),
 		       json_is_true(json_object_get(svc, "owner")) ? "*" : "");
 	}
 	printf("\n");
 }
 
-/* How one target stands over the VMs of its cell. */
-struct target_view {
+/* The state of a target, summed over the VMs of its service's cell. */
+struct target_summary {
 	unsigned in_use, avoided, ejected, other;
 	double evidence;
 	long sent;
 };
 
-static void add_view(struct target_view *view, json_t *target)
+static void add_to_summary(struct target_summary *summary, json_t *target)
 {
-	const char *state = text_of(target, "state");
+	const char *state = get_text(target, "state");
 	double evidence = json_real_value(json_object_get(target, "evidence"));
 
 	if (json_is_true(json_object_get(target, "honoured")))
-		view->ejected++;
+		summary->ejected++;
 	else if (!strcmp(state, "in-use"))
-		view->in_use++;
+		summary->in_use++;
 	else if (!strcmp(state, "avoided"))
-		view->avoided++;
+		summary->avoided++;
 	else
-		view->other++;
-	if (evidence > view->evidence)
-		view->evidence = evidence;
-	view->sent += number_of(target, "sent");
+		summary->other++;
+	if (evidence > summary->evidence)
+		summary->evidence = evidence;
+	summary->sent += get_number(target, "sent");
 }
 
-static void print_target(json_t *all, const char *service, const char *name)
+static void print_target(json_t *vms, const char *service, const char *name)
 {
-	struct target_view view = { 0 };
+	struct target_summary summary = { 0 };
 	size_t i;
 	json_t *vm;
 
-	json_array_foreach(all, i, vm)
+	json_array_foreach(vms, i, vm)
 	{
-		json_t *svc = service_of(vm, service);
+		json_t *svc = find_service(vm, service);
 		json_t *target =
-			find_named(json_object_get(svc, "targets"), name);
+			find_by_name(json_object_get(svc, "targets"), name);
 
 		if (target && json_is_true(json_object_get(svc, "in_cell")))
-			add_view(&view, target);
+			add_to_summary(&summary, target);
 	}
 	printf("    %-26s in use at %2u, avoided at %2u, ejected at %2u, "
 	       "other %2u; evidence %5.1f; sent %ld\n",
-	       name, view.in_use, view.avoided, view.ejected, view.other,
-	       view.evidence, view.sent);
+	       name, summary.in_use, summary.avoided, summary.ejected,
+	       summary.other, summary.evidence, summary.sent);
 }
 
-static void print_service(json_t *all, json_t *svc)
+static void print_service(json_t *vms, json_t *svc)
 {
-	const char *name = text_of(svc, "name");
+	const char *name = get_text(svc, "name");
 	json_t *targets = json_object_get(svc, "targets");
-	long least = 0;
-	long most = 0;
+	long oldest = 0;
+	long newest = 0;
 	const char *owner = "nobody";
 	const char *refused = "";
 	size_t i;
 	json_t *row;
 
-	json_array_foreach(all, i, row)
+	json_array_foreach(vms, i, row)
 	{
-		json_t *theirs = service_of(row, name);
-		json_t *config = json_object_get(theirs, "config");
-		long revision = number_of(config, "document_revision");
+		json_t *other = find_service(row, name);
+		json_t *config = json_object_get(other, "config");
+		long revision = get_number(config, "document_revision");
 
-		if (!theirs ||
-		    !json_is_true(json_object_get(theirs, "in_cell")))
+		if (!other || !json_is_true(json_object_get(other, "in_cell")))
 			continue;
-		least = !least || revision < least ? revision : least;
-		most = revision > most ? revision : most;
-		if (json_is_true(json_object_get(theirs, "owner")))
-			owner = text_of(row, "vm");
-		if (*text_of(config, "refused_reason"))
-			refused = text_of(config, "refused_reason");
+		oldest = !oldest || revision < oldest ? revision : oldest;
+		newest = revision > newest ? revision : newest;
+		if (json_is_true(json_object_get(other, "owner")))
+			owner = get_text(row, "vm");
+		if (*get_text(config, "refused_reason"))
+			refused = get_text(config, "refused_reason");
 	}
-	printf("\n%s: revision %ld", name, most);
-	if (least != most)
-		printf(" (%ld at the last VM)", least);
-	printf(", floor %ld, orders by %s, sick at %.1f, usual failures "
-	       "%.1f%%\n",
-	       number_of(svc, "floor"), owner,
+	printf("\n%s: revision %ld", name, newest);
+	if (oldest != newest)
+		printf(" (oldest %ld)", oldest);
+	printf(", floor %ld, orders by %s, evidence threshold %.1f, "
+	       "base failure rate %.1f%%\n",
+	       get_number(svc, "floor"), owner,
 	       json_real_value(json_object_get(svc, "sick_at")),
 	       json_real_value(json_object_get(svc, "base_rate")) * 100);
 	if (*refused)
 		printf("    REFUSED: %s\n", refused);
 	json_array_foreach(targets, i, row)
-		print_target(all, name, text_of(row, "name"));
+		print_target(vms, name, get_text(row, "name"));
 }
 
-static void print_services(json_t *all)
+static void print_services(json_t *vms)
 {
-	auto_json json_t *done = json_object();
+	auto_json json_t *printed = json_object();
 	size_t i;
 	json_t *vm;
 
-	json_array_foreach(all, i, vm)
+	json_array_foreach(vms, i, vm)
 	{
 		size_t j;
 		json_t *svc;
 
 		json_array_foreach(json_object_get(vm, "services"), j, svc)
 		{
-			const char *name = text_of(svc, "name");
+			const char *name = get_text(svc, "name");
 
-			if (json_object_get(done, name) ||
+			if (json_object_get(printed, name) ||
 			    !json_is_true(json_object_get(svc, "in_cell")))
 				continue;
-			json_object_set_new(done, name, json_true());
-			print_service(all, svc);
+			json_object_set_new(printed, name, json_true());
+			print_service(vms, svc);
 		}
 	}
 }
 
-static void print_table(json_t *all)
+static void print_table(json_t *vms)
 {
 	size_t i;
 	json_t *vm;
@@ -187,17 +186,17 @@
 	printf("%-20s %-8s %-22s %8s %8s %8s %8s %6s  %-4s  %s\n", "VM",
 	       "centre", "state", "requests", "answered", "not-run", "unknown",
 	       "now", "plat", "serves (* gives orders)");
-	json_array_foreach(all, i, vm) print_vm(vm);
-	print_services(all);
+	json_array_foreach(vms, i, vm) print_vm(vm);
+	print_services(vms);
 }
 
-static int show(struct standin *s, struct client *client, const char *vm,
-		bool json)
+static int print_status(struct standin *s, struct client *client,
+			const char *vm, bool json)
 {
-	auto_json json_t *all =
+	auto_json json_t *vms =
 		gather_from_fleet(s->loop, client, vm, "/status");
 
-	if (!all) {
+	if (!vms) {
 		fprintf(stderr,
 			"status: %s: expected the operator address of "
 			"a VM that knows the fleet\n",
@@ -205,27 +204,27 @@
 		return EXIT_FOUND_FAULT;
 	}
 	if (json) {
-		json_dumpf(all, stdout, JSON_INDENT(1));
+		json_dumpf(vms, stdout, JSON_INDENT(1));
 		printf("\n");
 	} else {
-		print_table(all);
+		print_table(vms);
 	}
 	return EXIT_SUCCESS;
 }
 
-static void tick(void *ctx)
+static void stop_loop(void *ctx)
 {
 	loop_stop(ctx);
 }
 
-/* toucanreel status: a table over all VMs, once or again and again. */
+/* toucanreel status: prints the state of all VMs, once or every second. */
 int command_status(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_str *vm =
 		arg_str1(NULL, "vm", "IP:PORT", "operator address of any VM");
-	struct arg_lit *watch = arg_lit0("w", "watch", "again each second");
-	struct arg_lit *json = arg_lit0(NULL, "json", "as JSON");
+	struct arg_lit *watch = arg_lit0("w", "watch", "repeat every second");
+	struct arg_lit *json = arg_lit0(NULL, "json", "print JSON");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, vm, watch, json, end };
 	struct standin s;
@@ -241,10 +240,10 @@
 	do {
 		if (watch->count)
 			printf(CLEAR_SCREEN);
-		code = show(&s, client, vm->sval[0], json->count > 0);
+		code = print_status(&s, client, vm->sval[0], json->count > 0);
 		fflush(stdout);
 		if (watch->count) {
-			loop_after(s.loop, WATCH_PERIOD, tick, s.loop);
+			loop_after(s.loop, WATCH_PERIOD, stop_loop, s.loop);
 			loop_run(s.loop);
 		}
 	} while (watch->count && !s.stopped);
--- a/src/cmd_timeline.c
+++ b/src/cmd_timeline.c
@@ -12,14 +12,14 @@
 #include "loop.h"
 #include "standin.h"
 
-#define MOST_OTHERS 512
+#define MAX_OTHERS 512
 
 struct filter {
-	const char *service;
-	json_int_t since;
+	const char *service; /* or NULL for all */
+	json_int_t since;    /* wall clock, in microseconds */
 };
 
-/* Events of one process, each told whose it is, appended to a list. */
+/* Appends the matching events of a process, each with the process's name. */
 static void add_events(json_t *all, json_t *process, const struct filter *f)
 {
 	size_t i;
@@ -41,8 +41,8 @@
 	}
 }
 
-/* The hybrid clock orders events as they could have caused each other. */
-static int compare(const void *a, const void *b)
+/* Orders by hybrid logical clock, so that causes come before their effects. */
+static int compare_events(const void *a, const void *b)
 {
 	json_t *x = *(json_t *const *)a;
 	json_t *y = *(json_t *const *)b;
@@ -59,7 +59,7 @@
 		      json_string_value(json_object_get(y, "process")));
 }
 
-static json_t *sorted(json_t *events)
+static json_t *sort_events(json_t *events)
 {
 	size_t n = json_array_size(events);
 	json_t **rows = calloc(n + 1, sizeof(*rows));
@@ -68,7 +68,7 @@
 	for (size_t i = 0; rows && i < n; i++)
 		rows[i] = json_array_get(events, i);
 	if (rows)
-		qsort(rows, n, sizeof(*rows), compare);
+		qsort(rows, n, sizeof(*rows), compare_events);
 	for (size_t i = 0; rows && i < n; i++)
 		json_array_append(out, rows[i]);
 	free(rows);
@@ -100,22 +100,23 @@
 	}
 }
 
-static json_t *collect(struct standin *s, struct client *client, const char *vm,
-		       const struct arg_str *also, const struct filter *f)
+static json_t *collect_events(struct standin *s, struct client *client,
+			      const char *vm, const struct arg_str *also,
+			      const struct filter *f)
 {
 	auto_json json_t *fleet =
 		gather_from_fleet(s->loop, client, vm, "/v1/events");
 	auto_json json_t *others = NULL;
 	auto_json json_t *all = json_array();
-	const char *urls[MOST_OTHERS];
-	char text[MOST_OTHERS][96];
+	const char *urls[MAX_OTHERS];
+	char text[MAX_OTHERS][96];
 	size_t i;
 	json_t *process;
 	int n = 0;
 
 	if (!fleet)
 		return NULL;
-	for (; n < also->count && n < MOST_OTHERS; n++) {
+	for (; n < also->count && n < MAX_OTHERS; n++) {
 		snprintf(text[n], sizeof(text[n]), "http://%s/v1/events",
 			 also->sval[n]);
 		urls[n] = text[n];
@@ -123,7 +124,7 @@
 	others = gather_json(s->loop, client, urls, (unsigned)n);
 	json_array_foreach(fleet, i, process) add_events(all, process, f);
 	json_array_foreach(others, i, process) add_events(all, process, f);
-	return sorted(all);
+	return sort_events(all);
 }
 
 static int print_events(json_t *events, const char *format)
@@ -148,20 +149,20 @@
 	return EXIT_SUCCESS;
 }
 
-/* toucanreel timeline: the events of all processes, merged. */
+/* toucanreel timeline: prints the merged events of all processes. */
 int command_timeline(int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_str *vm =
 		arg_str1(NULL, "vm", "IP:PORT", "operator address of any VM");
-	struct arg_str *also = arg_strn(NULL, "also", "IP:PORT", 0, MOST_OTHERS,
+	struct arg_str *also = arg_strn(NULL, "also", "IP:PORT", 0, MAX_OTHERS,
 					"other processes with /v1/events");
 	struct arg_str *format = arg_str0(NULL, "format", "text|json|svg",
-					  "how to show it (text)");
-	struct arg_str *service =
-		arg_str0(NULL, "service", "NAME", "only of this service");
-	struct arg_int *last =
-		arg_int0(NULL, "last", "SECONDS", "only the last seconds");
+					  "output format (text)");
+	struct arg_str *service = arg_str0(NULL, "service", "NAME",
+					   "only events of this service");
+	struct arg_int *last = arg_int0(NULL, "last", "SECONDS",
+					"only events of the last seconds");
 	struct arg_end *end = arg_end(8);
 	void *table[] = { help, vm, also, format, service, last, end };
 	struct filter f = { 0 };
@@ -180,7 +181,7 @@
 	if (last->count)
 		f.since = (json_int_t)loop_wall(NULL) -
 			  (json_int_t)last->ival[0] * 1000000;
-	events = collect(&s, client, vm->sval[0], also, &f);
+	events = collect_events(&s, client, vm->sval[0], also, &f);
 	if (events) {
 		code = print_events(events,
 				    format->count ? format->sval[0] : "text");
--- a/src/command.h
+++ b/src/command.h
@@ -3,13 +3,16 @@
 
 #include <jansson.h>
 
-/* What each subcommand of toucanreel is: its name, its job, its main. */
+/* The subcommands of toucanreel, each in a file cmd_NAME.c. */
+
 struct command {
 	const char *name;
-	const char *summary;
+	const char *summary; /* one line for --help */
 	int (*run)(int argc, char **argv);
 };
 
+/* Exit codes beside EXIT_SUCCESS: the input has a fault or was not found, and
+ * the command line is wrong or a file cannot be read. */
 #define EXIT_FOUND_FAULT 1
 #define EXIT_USAGE	 2
 
--- a/src/events_json.c
+++ b/src/events_json.c
@@ -2,7 +2,7 @@
 
 #include "event.h"
 
-static json_t *one(const struct tr_event *ev)
+static json_t *event_to_json(const struct tr_event *ev)
 {
 	return json_pack("{s:I, s:I, s:s, s:s, s:s, s:s}", "wall",
 			 (json_int_t)ev->when.wall, "count",
@@ -11,7 +11,8 @@
 			 "subject", ev->subject, "detail", ev->detail);
 }
 
-/* The events of a process from number since on, for the time line. */
+/* Returns the events that the ring still holds, from sequence number since on,
+ * and as "next" the number of the next event. */
 json_t *events_json(const struct tr_event_ring *ring, const char *process,
 		    unsigned long long since)
 {
@@ -21,7 +22,8 @@
 	if (since > first)
 		first = since;
 	for (uint64_t i = first; i < ring->count; i++)
-		json_array_append_new(list, one(tr_event_get(ring, i)));
+		json_array_append_new(list,
+				      event_to_json(tr_event_get(ring, i)));
 	return json_pack("{s:s, s:I, s:o}", "process", process, "next",
 			 (json_int_t)ring->count, "events", list);
 }
--- a/src/timeline_svg.c
+++ b/src/timeline_svg.c
@@ -1,6 +1,6 @@
 /*
- * The time line as one self-contained picture: a lane per process, a mark per
- * event, a legend of kinds. Marks carry their text as a tooltip.
+ * Draws the timeline as a self-contained SVG: a lane per process, a mark per
+ * event and a legend of the kinds. Each mark has its text as a tooltip.
  */
 #include <glib.h>
 #include <jansson.h>
@@ -10,23 +10,23 @@
 
 #include "command.h"
 
-#define LANE_HEIGHT 18
-#define LEFT	    190
-#define RIGHT	    30
-#define TOP	    74
-#define WIDTH	    1500
-#define TICKS	    10
-#define LEGEND_STEP 150
-#define LEGEND_ROWS 2
-#define MARK	    4
-
-struct look {
+#define LANE_HEIGHT   18
+#define MARGIN_LEFT   190
+#define MARGIN_RIGHT  30
+#define MARGIN_TOP    74
+#define IMAGE_WIDTH   1500
+#define TICKS	      10
+#define LEGEND_COLUMN 150
+#define LEGEND_ROWS   2
+#define MARK_RADIUS   4
+
+struct style {
 	const char *kind;
 	const char *colour;
 	const char *label;
 };
 
-static const struct look looks[] = {
+static const struct style styles[] = {
 	{ "fault-injected", "#d62728", "fault" },
 	{ "target-avoided", "#ff9f1c", "avoided" },
 	{ "target-ejected", "#9d0208", "ejected" },
@@ -48,31 +48,31 @@
 	{ "other", "#adb5bd", "other" },
 };
 
-#define LOOKS (sizeof(looks) / sizeof(looks[0]))
+#define STYLE_COUNT (sizeof(styles) / sizeof(styles[0]))
 
-static const struct look *look_of(const char *kind)
+static const struct style *find_style(const char *kind)
 {
-	for (size_t i = 0; i < LOOKS; i++)
-		if (!strcmp(looks[i].kind, kind))
-			return &looks[i];
-	return &looks[LOOKS - 1];
+	for (size_t i = 0; i < STYLE_COUNT; i++)
+		if (!strcmp(styles[i].kind, kind))
+			return &styles[i];
+	return &styles[STYLE_COUNT - 1];
 }
 
-struct picture {
+struct timeline {
 	GString *out;
 	GPtrArray *lanes;
 	json_int_t first;
 	json_int_t last;
 };
 
-static const char *text_of(json_t *ev, const char *key)
+static const char *get_text(json_t *ev, const char *key)
 {
 	const char *text = json_string_value(json_object_get(ev, key));
 
 	return text ? text : "";
 }
 
-static guint lane_of(struct picture *p, const char *process)
+static guint find_or_add_lane(struct timeline *p, const char *process)
 {
 	for (guint i = 0; i < p->lanes->len; i++)
 		if (!strcmp(g_ptr_array_index(p->lanes, i), process))
@@ -86,7 +86,7 @@
 	return strcmp(*(const char *const *)a, *(const char *const *)b);
 }
 
-static void measure(struct picture *p, json_t *events)
+static void collect_bounds(struct timeline *p, json_t *events)
 {
 	size_t i;
 	json_t *ev;
@@ -100,25 +100,26 @@
 			p->first = wall;
 		if (wall > p->last)
 			p->last = wall;
-		lane_of(p, text_of(ev, "process"));
+		find_or_add_lane(p, get_text(ev, "process"));
 	}
 	if (p->last <= p->first)
 		p->last = p->first + 1;
 	g_ptr_array_sort(p->lanes, by_name);
 }
 
-static double x_of(const struct picture *p, json_int_t wall)
+static double time_to_x(const struct timeline *p, json_int_t wall)
 {
-	return LEFT + (double)(wall - p->first) / (double)(p->last - p->first) *
-			      (WIDTH - LEFT - RIGHT);
+	return MARGIN_LEFT + (double)(wall - p->first) /
+				     (double)(p->last - p->first) *
+				     (IMAGE_WIDTH - MARGIN_LEFT - MARGIN_RIGHT);
 }
 
-static void draw_legend(struct picture *p)
+static void draw_legend(struct timeline *p)
 {
-	size_t per_row = (LOOKS + LEGEND_ROWS - 1) / LEGEND_ROWS;
+	size_t per_row = (STYLE_COUNT + LEGEND_ROWS - 1) / LEGEND_ROWS;
 
-	for (size_t i = 0; i < LOOKS; i++) {
-		double x = 12 + (double)(i % per_row) * LEGEND_STEP;
+	for (size_t i = 0; i < STYLE_COUNT; i++) {
+		double x = 12 + (double)(i % per_row) * LEGEND_COLUMN;
 		size_t row = i / per_row;
 		double y = 30 + (double)row * 16;
 
@@ -126,16 +127,16 @@
 			p->out,
 			"<circle cx='%.0f' cy='%.0f' r='%d' fill='%s'/>"
 			"<text x='%.0f' y='%.0f'>%s</text>\n",
-			x, y, MARK, looks[i].colour, x + 9, y + 4,
-			looks[i].label);
+			x, y, MARK_RADIUS, styles[i].colour, x + 9, y + 4,
+			styles[i].label);
 	}
 }
 
-static void draw_axis(struct picture *p, int height)
+static void draw_axis(struct timeline *p, int height)
 {
 	for (int i = 0; i <= TICKS; i++) {
 		json_int_t wall = p->first + (p->last - p->first) * i / TICKS;
-		double x = x_of(p, wall);
+		double x = time_to_x(p, wall);
 
 		g_string_append_printf(
 			p->out,
@@ -143,64 +144,66 @@
 			"stroke='#e5e5e5'/>"
 			"<text x='%.1f' y='%d' text-anchor='middle'>+%.2f "
 			"s</text>\n",
-			x, TOP - 4, x, height - 4, x, TOP - 8,
+			x, MARGIN_TOP - 4, x, height - 4, x, MARGIN_TOP - 8,
 			(double)(wall - p->first) / 1e6);
 	}
 }
 
-static void draw_lanes(struct picture *p)
+static void draw_lanes(struct timeline *p)
 {
 	for (guint i = 0; i < p->lanes->len; i++) {
-		int y = TOP + (int)i * LANE_HEIGHT;
+		int y = MARGIN_TOP + (int)i * LANE_HEIGHT;
 
 		g_string_append_printf(
 			p->out,
 			"<rect x='0' y='%d' width='%d' height='%d' "
 			"fill='%s'/><text x='12' y='%d'>%s</text>\n",
-			y, WIDTH, LANE_HEIGHT, i % 2 ? "#f8f8f8" : "#ffffff",
-			y + 13, (const char *)g_ptr_array_index(p->lanes, i));
+			y, IMAGE_WIDTH, LANE_HEIGHT,
+			i % 2 ? "#f8f8f8" : "#ffffff", y + 13,
+			(const char *)g_ptr_array_index(p->lanes, i));
 	}
 }
 
-static void draw_event(struct picture *p, json_t *ev)
+static void draw_event(struct timeline *p, json_t *ev)
 {
 	json_int_t wall = json_integer_value(json_object_get(ev, "wall"));
-	const struct look *look = look_of(text_of(ev, "kind"));
-	guint lane = lane_of(p, text_of(ev, "process"));
+	const struct style *style = find_style(get_text(ev, "kind"));
+	guint lane = find_or_add_lane(p, get_text(ev, "process"));
 	char *tip = g_markup_printf_escaped(
 		"+%.3f s %s %s %s: %s", (double)(wall - p->first) / 1e6,
-		text_of(ev, "kind"), text_of(ev, "service"),
-		text_of(ev, "subject"), text_of(ev, "detail"));
+		get_text(ev, "kind"), get_text(ev, "service"),
+		get_text(ev, "subject"), get_text(ev, "detail"));
 
 	g_string_append_printf(p->out,
 			       "<circle cx='%.1f' cy='%d' r='%d' fill='%s'>"
 			       "<title>%s</title></circle>\n",
-			       x_of(p, wall),
-			       TOP + (int)lane * LANE_HEIGHT + LANE_HEIGHT / 2,
-			       MARK, look->colour, tip);
+			       time_to_x(p, wall),
+			       MARGIN_TOP + (int)lane * LANE_HEIGHT +
+				       LANE_HEIGHT / 2,
+			       MARK_RADIUS, style->colour, tip);
 	g_free(tip);
 }
 
-/* A picture of events that are in order; the caller frees it. */
+/* Returns the SVG text of sorted events; the caller frees it. */
 char *timeline_svg(json_t *events)
 {
-	struct picture p = { g_string_new(NULL), g_ptr_array_new(), 0, 0 };
+	struct timeline p = { g_string_new(NULL), g_ptr_array_new(), 0, 0 };
 	int height;
 	char *text;
 	size_t i;
 	json_t *ev;
 
-	measure(&p, events);
-	height = TOP + (int)p.lanes->len * LANE_HEIGHT + 10;
+	collect_bounds(&p, events);
+	height = MARGIN_TOP + (int)p.lanes->len * LANE_HEIGHT + 10;
 	g_string_append_printf(
 		p.out,
 		"<svg xmlns='http://www.w3.org/2000/svg' width='%d' "
 		"height='%d' font-family='sans-serif' font-size='11'>\n"
 		"<rect width='%d' height='%d' fill='white'/>\n"
-		"<text x='12' y='16' font-size='14'>toucanreel time line: %zu "
+		"<text x='12' y='16' font-size='14'>toucanreel timeline: %zu "
 		"events of %u processes</text>\n",
-		WIDTH, height, WIDTH, height, json_array_size(events),
-		p.lanes->len);
+		IMAGE_WIDTH, height, IMAGE_WIDTH, height,
+		json_array_size(events), p.lanes->len);
 	draw_lanes(&p);
 	draw_axis(&p, height);
 	draw_legend(&p);
--- a/src/toucanreel.c
+++ b/src/toucanreel.c
@@ -1,3 +1,4 @@
+/* The operators' command: looks up the subcommand and runs it. */
 #include <argtable2.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,15 +10,17 @@
 static const struct command commands[] = {
 	{ "check", "validate a team's document, as the daemon does",
 	  command_check },
-	{ "status", "the state of all VMs as a table", command_status },
-	{ "lookup", "ask which addresses serve a service", command_lookup },
-	{ "timeline", "the events of all processes in causal order",
+	{ "status", "show the state of all VMs", command_status },
+	{ "lookup", "look up the addresses that serve a service",
+	  command_lookup },
+	{ "timeline", "show the events of all processes in causal order",
 	  command_timeline },
-	{ "explain", "the story of a request, by the logs of all VMs",
+	{ "explain", "explain a request's result from the logs of all VMs",
 	  command_explain },
-	{ "losses", "where requests are lost, by the logs of all VMs",
+	{ "losses", "count lost requests by cause, from the logs of all VMs",
 	  command_losses },
-	{ "capacity", "what a fleet of a given size costs", command_capacity },
+	{ "capacity", "estimate what a fleet of a given size costs",
+	  command_capacity },
 };
 
 #define COMMANDS (sizeof(commands) / sizeof(commands[0]))
@@ -28,12 +31,13 @@
 	for (size_t i = 0; i < COMMANDS; i++)
 		fprintf(out, "  %-10s %s\n", commands[i].name,
 			commands[i].summary);
-	fprintf(out, "\n'toucanreel COMMAND --help' says more.\n");
+	fprintf(out, "\nSee 'toucanreel COMMAND --help' for the options.\n");
 }
 
 /*
- * Parse a subcommand's options. Returns 1 when the command should go on, else
- * 0 with *code to exit with. The last entry of table is its arg_end.
+ * Parses a subcommand's options. Returns 1 if the command should continue, or 0
+ * with the exit code in *code. table[0] must be the help option and the last
+ * entry the arg_end.
  */
 int command_parse(int argc, char **argv, void **table, const char *name,
 		  int *code)
@@ -76,7 +80,7 @@
 		if (!strcmp(argv[1], commands[i].name))
 			return commands[i].run(argc - 1, argv + 1);
 	if (argc >= 2)
-		fprintf(stderr, "toucanreel: no command '%s'\n", argv[1]);
+		fprintf(stderr, "toucanreel: unknown command '%s'\n", argv[1]);
 	usage(stderr);
 	return EXIT_USAGE;
 }
