--- a/src/load_caller.c
+++ b/src/load_caller.c
@@ -1,3 +1,4 @@
+/* Simulated callers: lookups of addresses, and batches of keys. */
 #include <jansson.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,33 +9,33 @@
 #include "load.h"
 #include "loop.h"
 
-#define LOOKUP_TIMEOUT TR_SEC(2)
-#define LOOKUP_RETRY   TR_MSEC(300)
-#define KEYS_AT_ONCE   64
-#define KEYS_LOW       24
+#define LOOKUP_TIMEOUT	   TR_SEC(2)
+#define LOOKUP_RETRY	   TR_MSEC(300)
+#define KEY_BATCH	   64
+#define KEYS_LOW_WATERMARK 24
 
-struct question {
+struct query {
 	struct load *load;
 	struct caller *caller;
 	char address[64];
 };
 
-static apr_time_t now_of(const struct load *load)
+static apr_time_t current_time(const struct load *load)
 {
 	return tr_clock_now(loop_clock(load->standin.loop));
 }
 
-static void take_addresses(struct caller *caller, json_t *root)
+static void store_addresses(struct caller *caller, json_t *root)
 {
 	json_t *list = json_object_get(root, "addresses");
 	size_t i;
 	json_t *row;
 
 	caller->addresses_count = 0;
-	caller->preferred = 0;
+	caller->first_address = 0;
 	json_array_foreach(list, i, row)
 	{
-		if (i >= LOAD_ADDRESSES)
+		if (i >= LOAD_MAX_ADDRESSES)
 			break;
 		snprintf(caller->addresses[i], sizeof(caller->addresses[i]),
 			 "%s:%d",
@@ -44,34 +45,37 @@
 	}
 }
 
-static void lookup_answered(void *ctx, const struct fetch_response *answer)
+static void on_lookup_response(void *ctx, const struct fetch_response *answer)
 {
-	struct question *q = ctx;
+	struct query *q = ctx;
 	struct load *load = q->load;
 	struct caller *caller = q->caller;
 	auto_json json_t *root = NULL;
 
-	caller->asking = false;
-	caller->kept_until = now_of(load) + LOOKUP_RETRY;
+	caller->lookup_pending = false;
+	caller->lookup_expires_at = current_time(load) + LOOKUP_RETRY;
 	if (answer->status == 200)
 		root = json_loadb(answer->body, answer->len, 0, NULL);
 	if (root && json_array_size(json_object_get(root, "addresses"))) {
-		take_addresses(caller, root);
-		caller->kept_until = now_of(load) +
-				     TR_SEC(json_integer_value(
-					     json_object_get(root, "keep_s")));
+		store_addresses(caller, root);
+		caller->lookup_expires_at =
+			current_time(load) +
+			TR_SEC(json_integer_value(
+				json_object_get(root, "keep_s")));
 	}
 	free(q);
 }
 
-/* Ask any VM of the system which addresses to use, unless one is kept. */
-void load_refresh(struct load *load, struct caller *caller)
+/* Looks up the service's addresses at a random VM, unless the last lookup is
+ * still valid or another is pending. */
+void load_lookup(struct load *load, struct caller *caller)
 {
 	const struct load_options *o = &load->options;
-	struct question *q;
+	struct query *q;
 	char url[512];
 
-	if (caller->asking || now_of(load) < caller->kept_until || o->direct)
+	if (caller->lookup_pending ||
+	    current_time(load) < caller->lookup_expires_at || o->direct)
 		return;
 	q = calloc(1, sizeof(*q));
 	q->load = load;
@@ -81,16 +85,17 @@
 		 o->entries[tr_random_below(&load->random, o->entries_count)],
 		 o->service, caller->name,
 		 o->data_centre ? o->data_centre : "");
-	caller->asking = true;
+	caller->lookup_pending = true;
 	if (!client_fetch(load->client, url, NULL, LOOKUP_TIMEOUT,
-			  lookup_answered, q)) {
-		caller->asking = false;
+			  on_lookup_response, q)) {
+		caller->lookup_pending = false;
 		free(q);
 	}
 }
 
-/* The address for the next try: the kept one, or the next after a failure. */
-const char *load_address(struct load *load, struct op *op)
+/* Returns the address for the next attempt: the first of the lookup, or after
+ * failures the ones that follow. NULL if no lookup has succeeded. */
+const char *load_next_address(struct load *load, struct op *op)
 {
 	struct caller *caller = op->caller;
 	unsigned n = caller->addresses_count;
@@ -100,18 +105,19 @@
 			&load->random, load->options.targets_count)];
 	if (!n)
 		return NULL;
-	return caller->addresses[(caller->preferred + op->tried_addresses) % n];
+	return caller
+		->addresses[(caller->first_address + op->failed_addresses) % n];
 }
 
-static void keys_answered(void *ctx, const struct fetch_response *answer)
+static void on_keys_response(void *ctx, const struct fetch_response *answer)
 {
-	struct question *q = ctx;
+	struct query *q = ctx;
 	struct caller *caller = q->caller;
 	auto_json json_t *root = NULL;
 	size_t i;
 	json_t *key;
 
-	caller->asking_keys = false;
+	caller->keys_pending = false;
 	if (answer->status == 200)
 		root = json_loadb(answer->body, answer->len, 0, NULL);
 	if (root) {
@@ -121,7 +127,7 @@
 			 q->address);
 		json_array_foreach(json_object_get(root, "keys"), i, key)
 		{
-			if (caller->keys_count < LOAD_KEYS)
+			if (caller->keys_count < LOAD_MAX_KEYS)
 				caller->keys[caller->keys_count++] =
 					strdup(json_string_value(key));
 		}
@@ -129,37 +135,38 @@
 	free(q);
 }
 
-static void ask_keys(struct load *load, struct caller *caller,
-		     const char *address)
+static void request_keys(struct load *load, struct caller *caller,
+			 const char *address)
 {
-	struct question *q;
+	struct query *q;
 	char url[256];
 
-	if (caller->asking_keys)
+	if (caller->keys_pending)
 		return;
 	q = calloc(1, sizeof(*q));
 	q->load = load;
 	q->caller = caller;
 	snprintf(q->address, sizeof(q->address), "%s", address);
 	snprintf(url, sizeof(url), "http://%s/v1/keys?service=%s&keys=%d",
-		 address, load->options.service, KEYS_AT_ONCE);
-	caller->asking_keys = true;
+		 address, load->options.service, KEY_BATCH);
+	caller->keys_pending = true;
 	if (!client_fetch(load->client, url, NULL, LOOKUP_TIMEOUT,
-			  keys_answered, q)) {
-		caller->asking_keys = false;
+			  on_keys_response, q)) {
+		caller->keys_pending = false;
 		free(q);
 	}
 }
 
-/* A key minted by the VM at that address, or NULL when none is at hand. */
+/* Returns a key minted by the VM at the address, or NULL if there is none; the
+ * caller frees it. Requests a new batch when few are left. */
 char *load_take_key(struct load *load, struct caller *caller,
 		    const char *address)
 {
-	bool fits = !strcmp(caller->keys_from, address);
+	bool same_vm = !strcmp(caller->keys_from, address);
 
-	if (!fits || caller->keys_count < KEYS_LOW)
-		ask_keys(load, caller, address);
-	if (!fits || !caller->keys_count)
+	if (!same_vm || caller->keys_count < KEYS_LOW_WATERMARK)
+		request_keys(load, caller, address);
+	if (!same_vm || !caller->keys_count)
 		return NULL;
 	return caller->keys[--caller->keys_count];
 }
--- a/src/load_options.c
+++ b/src/load_options.c
@@ -1,3 +1,4 @@
+/* The command line of toucanreel-load. */
 #include <argtable2.h>
 #include <glib.h>
 #include <stdio.h>
@@ -11,9 +12,7 @@
 	unsigned n = 0;
 
 	if (!g_file_get_contents(path, &text, NULL, NULL)) {
-		fprintf(stderr,
-			"toucanreel-load: %s: expected a readable "
-			"file\n",
+		fprintf(stderr, "toucanreel-load: %s: cannot read the file\n",
 			path);
 		return NULL;
 	}
@@ -40,86 +39,110 @@
 	return arg->count ? arg->sval[0] : otherwise;
 }
 
-/* Read the command line; see load.h for what it returns. */
+/* Parses the command line into o. */
 enum load_parse load_parse(struct load_options *o, int argc, char **argv)
 {
-	struct arg_lit *help = arg_lit0("h", "help", "say how to use it");
-	struct arg_str *service = arg_str1(NULL, "service", "NAME", "service");
-	struct arg_file *entries = arg_file0(NULL, "entries", "FILE",
-					     "IP:PORT of the VMs, a line each");
+	struct arg_lit *help = arg_lit0("h", "help", "show this help");
+	struct arg_str *service =
+		arg_str1(NULL, "service", "NAME", "name of the service");
+	struct arg_file *entries = arg_file0(
+		NULL, "entries", "FILE", "file with IP:PORT of a VM per line");
 	struct arg_file *targets =
-		arg_file0(NULL, "targets", "FILE", "IP:PORT of the targets");
+		arg_file0(NULL, "targets", "FILE",
+			  "file with IP:PORT of a target per line");
 	struct arg_dbl *rate = arg_dbl0(NULL, "rate", "N", "requests/s (100)");
-	struct arg_dbl *seconds = arg_dbl0(NULL, "seconds", "S", "time (10)");
-	struct arg_dbl *never = arg_dbl0(NULL, "never", "SHARE",
-					 "share that must not repeat (0)");
+	struct arg_dbl *seconds =
+		arg_dbl0(NULL, "seconds", "S", "duration (10)");
+	struct arg_dbl *never = arg_dbl0(
+		NULL, "never", "SHARE", "share that must run at most once (0)");
 	struct arg_dbl *must = arg_dbl0(NULL, "must", "SHARE",
 					"share that must get through (0)");
 	struct arg_str *read_path = arg_str0(NULL, "read-path", "PATH", "/");
-	struct arg_str *never_path = arg_str0(NULL, "never-path", "PATH", "/");
-	struct arg_str *must_path = arg_str0(NULL, "must-path", "PATH", "/");
+	struct arg_str *once_path = arg_str0(NULL, "never-path", "PATH", "/");
+	struct arg_str *required_path =
+		arg_str0(NULL, "must-path", "PATH", "/");
 	struct arg_str *centre = arg_str0(NULL, "data-centre", "NAME",
 					  "data centre of the callers");
 	struct arg_str *prefix =
-		arg_str0(NULL, "prefix", "TEXT", "start of request ids (r)");
+		arg_str0(NULL, "prefix", "TEXT", "prefix of request ids (r)");
 	struct arg_int *callers =
-		arg_int0(NULL, "callers", "N", "callers (16)");
-	struct arg_int *orgs =
-		arg_int0(NULL, "organisations", "N", "organisations (0)");
+		arg_int0(NULL, "callers", "N", "number of callers (16)");
+	struct arg_int *orgs = arg_int0(NULL, "organisations", "N",
+					"number of organisations (0)");
 	struct arg_int *retries =
-		arg_int0(NULL, "retries", "N", "tries after not-run (0)");
-	struct arg_lit *impatient =
-		arg_lit0(NULL, "impatient", "try again at once");
+		arg_int0(NULL, "retries", "N", "retries after not-run (0)");
+	struct arg_lit *retry_immediately =
+		arg_lit0(NULL, "impatient", "retry without delay");
 	struct arg_lit *direct =
-		arg_lit0(NULL, "direct", "go to the targets themselves");
+		arg_lit0(NULL, "direct", "send to the targets directly");
 	struct arg_int *deadline =
-		arg_int0(NULL, "deadline-ms", "MS", "deadline to ask for");
-	struct arg_int *body =
-		arg_int0(NULL, "body", "BYTES", "bytes of a body (200)");
-	struct arg_int *pad =
-		arg_int0(NULL, "pad", "BYTES", "bytes of an answer (0)");
+		arg_int0(NULL, "deadline-ms", "MS", "deadline of each request");
+	struct arg_int *body_size =
+		arg_int0(NULL, "body", "BYTES", "size of a request body (200)");
+	struct arg_int *response_padding =
+		arg_int0(NULL, "pad", "BYTES", "padding of a response (0)");
 	struct arg_int *seed = arg_int0(NULL, "seed", "N", "seed (1)");
 	struct arg_file *report =
-		arg_file0(NULL, "report", "FILE", "where the report goes");
-	struct arg_file *series =
-		arg_file0(NULL, "series", "FILE", "counts per 100 ms");
+		arg_file0(NULL, "report", "FILE", "output file of the report");
+	struct arg_file *series = arg_file0(NULL, "series", "FILE",
+					    "output file of counts per 100 ms");
 	struct arg_end *end = arg_end(16);
-	void *table[] = { help,	     service,	entries, targets,   rate,
-			  seconds,   never,	must,	 read_path, never_path,
-			  must_path, centre,	prefix,	 callers,   orgs,
-			  retries,   impatient, direct,	 deadline,  body,
-			  pad,	     seed,	report,	 series,    end };
+	void *table[] = { help,
+			  service,
+			  entries,
+			  targets,
+			  rate,
+			  seconds,
+			  never,
+			  must,
+			  read_path,
+			  once_path,
+			  required_path,
+			  centre,
+			  prefix,
+			  callers,
+			  orgs,
+			  retries,
+			  retry_immediately,
+			  direct,
+			  deadline,
+			  body_size,
+			  response_padding,
+			  seed,
+			  report,
+			  series,
+			  end };
 	int errors = arg_parse(argc, argv, table);
 
 	if (help->count) {
 		printf("Usage: toucanreel-load");
 		arg_print_syntax(stdout, table, "\n");
 		arg_print_glossary(stdout, table, "  %-24s %s\n");
-		return LOAD_HELPED;
+		return LOAD_SHOWED_HELP;
 	}
 	if (errors) {
 		arg_print_errors(stderr, end, "toucanreel-load");
-		return LOAD_REFUSED;
+		return LOAD_USAGE_ERROR;
 	}
 	*o = (struct load_options){
 		.service = service->sval[0],
 		.rate = number(rate, 100),
 		.seconds = number(seconds, 10),
-		.never_share = number(never, 0),
-		.must_share = number(must, 0),
+		.once_share = number(never, 0),
+		.required_share = number(must, 0),
 		.read_path = word(read_path, "/"),
-		.never_path = word(never_path, "/"),
-		.must_path = word(must_path, "/"),
+		.once_path = word(once_path, "/"),
+		.required_path = word(required_path, "/"),
 		.data_centre = word(centre, NULL),
 		.prefix = word(prefix, "r"),
 		.callers = (unsigned)integer(callers, 16),
 		.organisations = (unsigned)integer(orgs, 0),
 		.retries = (unsigned)integer(retries, 0),
-		.impatient = impatient->count > 0,
+		.retry_immediately = retry_immediately->count > 0,
 		.direct = direct->count > 0,
 		.deadline_ms = integer(deadline, 0),
-		.body = (size_t)integer(body, 200),
-		.pad = integer(pad, 0),
+		.body_size = (size_t)integer(body_size, 200),
+		.response_padding = integer(response_padding, 0),
 		.seed = (uint64_t)integer(seed, 1),
 		.report = report->count ? report->filename[0] : NULL,
 		.series = series->count ? series->filename[0] : NULL,
@@ -134,7 +157,7 @@
 	    (o->direct && !o->targets_count)) {
 		fprintf(stderr, "toucanreel-load: expected --entries FILE, or "
 				"--direct with --targets FILE\n");
-		return LOAD_REFUSED;
+		return LOAD_USAGE_ERROR;
 	}
-	return LOAD_GO;
+	return LOAD_RUN;
 }
--- a/src/load_report.c
+++ b/src/load_report.c
@@ -1,3 +1,4 @@
+/* The report of a run, checked against the targets' ledgers. */
 #include <glib.h>
 #include <jansson.h>
 #include <stdio.h>
@@ -9,18 +10,18 @@
 #include "gather.h"
 #include "load.h"
 
-#define BIN_US 100000
+#define SERIES_BIN_US 100000
 
-/* What the targets' ledgers say, against what callers were told. */
-struct verdict {
-	unsigned long doubled;
-	unsigned long not_run_lies;
-	unsigned long answered_not_run;
-	unsigned long unknown_ran;
+/* The results that callers were given, compared with the targets' ledgers. */
+struct ledger_check {
+	unsigned long doubled; /* must run at most once, but ran more often */
+	unsigned long not_run_but_ran;	    /* reported as not run, but ran */
+	unsigned long answered_but_not_run; /* answered, but never ran */
+	unsigned long unknown_ran;	    /* reported as unknown, and ran */
 };
 
-/* How often each request ran, over the ledgers of all targets. */
-static GHashTable *runs_of(struct load *load, unsigned *ledgers)
+/* Sums up how often each request ran from the ledgers of all targets. */
+static GHashTable *count_runs(struct load *load, unsigned *ledgers)
 {
 	const struct load_options *o = &load->options;
 	GHashTable *runs =
@@ -42,38 +43,39 @@
 
 		json_object_foreach(json_object_get(root, "ledger"), id, entry)
 		{
-			unsigned have =
+			unsigned before =
 				GPOINTER_TO_UINT(g_hash_table_lookup(runs, id));
-			unsigned more = (unsigned)json_integer_value(
+			unsigned added = (unsigned)json_integer_value(
 				json_object_get(entry, "runs"));
 
 			g_hash_table_replace(runs, g_strdup(id),
-					     GUINT_TO_POINTER(have + more));
+					     GUINT_TO_POINTER(before + added));
 		}
 	}
 	*ledgers = (unsigned)json_array_size(answers);
 	return runs;
 }
 
-static void judge(const struct load *load, GHashTable *runs, struct verdict *v)
+static void check_ledgers(const struct load *load, GHashTable *runs,
+			  struct ledger_check *check)
 {
 	for (size_t i = 0; i < load->ops_count; i++) {
 		const struct op *op = load->ops[i];
 		unsigned n =
 			GPOINTER_TO_UINT(g_hash_table_lookup(runs, op->id));
 
-		if (op->never && n > 1)
-			v->doubled++;
-		if (op->end == OP_NOT_RUN && !op->maybe_run && n > 0)
-			v->not_run_lies++;
-		if (op->end == OP_ANSWERED && n == 0)
-			v->answered_not_run++;
-		if (op->end == OP_UNKNOWN && n > 0)
-			v->unknown_ran++;
+		if (op->once && n > 1)
+			check->doubled++;
+		if (op->result == OP_NOT_RUN && !op->maybe_executed && n > 0)
+			check->not_run_but_ran++;
+		if (op->result == OP_ANSWERED && n == 0)
+			check->answered_but_not_run++;
+		if (op->result == OP_UNKNOWN && n > 0)
+			check->unknown_ran++;
 	}
 }
 
-static int compare_times(const void *a, const void *b)
+static int compare_durations(const void *a, const void *b)
 {
 	const apr_time_t *x = a;
 	const apr_time_t *y = b;
@@ -81,7 +83,7 @@
 	return (*x > *y) - (*x < *y);
 }
 
-static double ms_at(const apr_time_t *sorted, size_t n, double q)
+static double quantile_ms(const apr_time_t *sorted, size_t n, double q)
 {
 	size_t at = (size_t)((double)n * q);
 
@@ -90,7 +92,7 @@
 	return (double)sorted[at < n ? at : n - 1] / 1000.0;
 }
 
-static json_t *latencies(const struct load *load)
+static json_t *latency_quantiles(const struct load *load)
 {
 	apr_time_t *times = calloc(load->ops_count + 1, sizeof(*times));
 	size_t n = 0;
@@ -99,19 +101,20 @@
 	for (size_t i = 0; i < load->ops_count; i++) {
 		const struct op *op = load->ops[i];
 
-		if (op->end == OP_ANSWERED)
-			times[n++] = op->ended - op->intended;
+		if (op->result == OP_ANSWERED)
+			times[n++] = op->ended_at - op->scheduled_at;
 	}
-	qsort(times, n, sizeof(*times), compare_times);
-	json = json_pack("{s:f, s:f, s:f, s:f, s:f}", "p50",
-			 ms_at(times, n, 0.5), "p90", ms_at(times, n, 0.9),
-			 "p99", ms_at(times, n, 0.99), "p999",
-			 ms_at(times, n, 0.999), "max", ms_at(times, n, 1));
+	qsort(times, n, sizeof(*times), compare_durations);
+	json = json_pack(
+		"{s:f, s:f, s:f, s:f, s:f}", "p50", quantile_ms(times, n, 0.5),
+		"p90", quantile_ms(times, n, 0.9), "p99",
+		quantile_ms(times, n, 0.99), "p999",
+		quantile_ms(times, n, 0.999), "max", quantile_ms(times, n, 1));
 	free(times);
 	return json;
 }
 
-static json_t *codes(const struct load *load)
+static json_t *count_codes(const struct load *load)
 {
 	json_t *json = json_object();
 	char word[64];
@@ -131,7 +134,7 @@
 	return json;
 }
 
-static json_t *ends(const struct load *load, bool never, bool must)
+static json_t *count_results(const struct load *load, bool once, bool required)
 {
 	unsigned long count[OP_FAILED + 1] = { 0 };
 	unsigned long all = 0;
@@ -139,9 +142,9 @@
 	for (size_t i = 0; i < load->ops_count; i++) {
 		const struct op *op = load->ops[i];
 
-		if (op->never != never || op->must != must)
+		if (op->once != once || op->required != required)
 			continue;
-		count[op->end]++;
+		count[op->result]++;
 		all++;
 	}
 	return json_pack("{s:I, s:I, s:I, s:I, s:I}", "sent", (json_int_t)all,
@@ -149,19 +152,21 @@
 			 (json_int_t)count[OP_NOT_RUN], "unknown",
 			 (json_int_t)count[OP_UNKNOWN], "no_answer",
 			 (json_int_t)count[OP_FAILED] +
-				 (json_int_t)count[OP_OPEN]);
+				 (json_int_t)count[OP_PENDING]);
 }
 
-static unsigned long count_flag(const struct load *load, bool cut)
+static unsigned long count_flag(const struct load *load, bool truncated)
 {
 	unsigned long n = 0;
 
 	for (size_t i = 0; i < load->ops_count; i++)
-		n += cut ? load->ops[i]->cut : load->ops[i]->misdelivered;
+		n += truncated ? load->ops[i]->truncated
+			       : load->ops[i]->misdelivered;
 	return n;
 }
 
-/* Per tenth of a second: when intended, how many sent, answered and failed. */
+/* Writes a line per 100 ms: the time, and how many of the requests scheduled
+ * then were sent, answered and not answered. */
 static void write_series(const struct load *load)
 {
 	size_t bins = (size_t)(load->options.seconds * 10) + 1;
@@ -170,13 +175,14 @@
 
 	for (size_t i = 0; i < load->ops_count; i++) {
 		const struct op *op = load->ops[i];
-		size_t bin = (size_t)((op->intended - load->began) / BIN_US);
+		size_t bin = (size_t)((op->scheduled_at - load->started_at) /
+				      SERIES_BIN_US);
 
 		if (bin >= bins)
 			continue;
 		sent[bin * 3]++;
-		sent[bin * 3 + 1] += op->end == OP_ANSWERED;
-		sent[bin * 3 + 2] += op->end != OP_ANSWERED;
+		sent[bin * 3 + 1] += op->result == OP_ANSWERED;
+		sent[bin * 3 + 2] += op->result != OP_ANSWERED;
 	}
 	for (size_t b = 0; f && b < bins; b++)
 		fprintf(f, "%.1f %u %u %u\n", (double)b / 10, sent[b * 3],
@@ -186,31 +192,34 @@
 	free(sent);
 }
 
-/* Check the run against the ledgers and write the report. 0 or -1. */
+/* Checks the run against the ledgers and writes the report. Returns 0, or -1 if
+ * the report could not be written. */
 int load_report(struct load *load)
 {
 	const struct load_options *o = &load->options;
-	struct verdict v = { 0 };
-	unsigned got = 0;
-	GHashTable *runs = runs_of(load, &got);
+	struct ledger_check check = { 0 };
+	unsigned ledgers = 0;
+	GHashTable *runs = count_runs(load, &ledgers);
 	json_t *json;
 	int res = -1;
 
-	judge(load, runs, &v);
+	check_ledgers(load, runs, &check);
 	g_hash_table_destroy(runs);
 	json = json_pack(
 		"{s:s, s:f, s:f, s:I, s:o, s:o, s:o, s:o, s:o, s:I, s:I, s:I, "
 		"s:I, s:I, s:I, s:i, s:i}",
 		"service", o->service, "rate", o->rate, "seconds", o->seconds,
 		"sent", (json_int_t)load->ops_count, "reads",
-		ends(load, false, false), "never", ends(load, true, false),
-		"must", ends(load, false, true), "latency_ms", latencies(load),
-		"codes", codes(load), "doubled", (json_int_t)v.doubled,
-		"not_run_lies", (json_int_t)v.not_run_lies, "answered_not_run",
-		(json_int_t)v.answered_not_run, "unknown_ran",
-		(json_int_t)v.unknown_ran, "misdelivered",
+		count_results(load, false, false), "never",
+		count_results(load, true, false), "must",
+		count_results(load, false, true), "latency_ms",
+		latency_quantiles(load), "codes", count_codes(load), "doubled",
+		(json_int_t)check.doubled, "not_run_lies",
+		(json_int_t)check.not_run_but_ran, "answered_not_run",
+		(json_int_t)check.answered_but_not_run, "unknown_ran",
+		(json_int_t)check.unknown_ran, "misdelivered",
 		(json_int_t)count_flag(load, false), "cut_as_whole",
-		(json_int_t)count_flag(load, true), "ledgers", (int)got,
+		(json_int_t)count_flag(load, true), "ledgers", (int)ledgers,
 		"targets", (int)o->targets_count);
 	if (o->series)
 		write_series(load);
