--- a/examples/embed.c
+++ b/examples/embed.c
@@ -1,6 +1,8 @@
 /*
- * Decisions of libtoucanreel with I/O of one's own: one VM, five targets, a
- * clock that the program moves. One target hangs; the library avoids it.
+ * Embeds libtoucanreel with I/O of the program's own: one VM and five targets,
+ * with simulated requests and a simulated clock. One target fails every
+ * request; the library must avoid it, so that it gets less than a twentieth of
+ * the requests.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -12,15 +14,15 @@
 #define TARGETS	 5
 #define REQUESTS 2000
 
-static apr_time_t now = TR_SEC(1);
+static apr_time_t current_time = TR_SEC(1);
 
 static apr_time_t read_clock(void *ctx)
 {
 	(void)ctx;
-	return now;
+	return current_time;
 }
 
-static void list_targets(struct tr_target_entry *entries)
+static void fill_targets(struct tr_target_entry *entries)
 {
 	for (int i = 0; i < TARGETS; i++) {
 		memset(&entries[i], 0, sizeof(entries[i]));
@@ -33,27 +35,27 @@
 	}
 }
 
-/* In place of I/O: target 2 fails whatever it is sent. */
+/* Stands in for the I/O: target-2 fails every request. */
 static enum tr_attempt_end send_request(const struct tr_target *target)
 {
 	return strcmp(target->name, "target-2") ? TR_ATTEMPT_ANSWERED
 						: TR_ATTEMPT_BROKEN;
 }
 
-static void one_request(struct tr_board *board, struct tr_service *svc)
+static void run_request(struct tr_board *board, struct tr_service *svc)
 {
 	enum tr_pick_kind kind;
 	struct tr_target *target =
 		tr_service_pick(board, svc, true, NULL, &kind);
-	apr_time_t began = now;
+	apr_time_t start = current_time;
 
 	if (!target)
 		return;
-	tr_attempt_begin(svc, target, kind, began);
-	now += TR_MSEC(5);
-	tr_attempt_end(board, svc, target, 0, send_request(target), began,
-		       false, now);
-	tr_service_step(board, svc, now);
+	tr_attempt_begin(svc, target, kind, start);
+	current_time += TR_MSEC(5);
+	tr_attempt_end(board, svc, target, 0, send_request(target), start,
+		       false, current_time);
+	tr_service_step(board, svc, current_time);
 }
 
 int main(void)
@@ -74,7 +76,7 @@
 		.routes_count = 1,
 	};
 	struct tr_service *svc;
-	unsigned long sick = 0;
+	unsigned long faulty_sent = 0;
 
 	if (!board)
 		return EXIT_FAILURE;
@@ -84,10 +86,10 @@
 	tr_document_defaults(&doc);
 	svc = tr_board_add_service(board, "demo");
 	tr_service_set_document(board, svc, &doc, 1);
-	list_targets(entries);
+	fill_targets(entries);
 	tr_service_set_targets(board, svc, entries, TARGETS, 1);
 	for (int i = 0; i < REQUESTS; i++)
-		one_request(board, svc);
+		run_request(board, svc);
 	for (unsigned i = 0; i < svc->targets_count; i++) {
 		const struct tr_target *t = &svc->targets[i];
 
@@ -95,9 +97,9 @@
 		       (unsigned long)t->sent, (unsigned long)t->answered,
 		       t->avoided ? ", avoided" : "");
 		if (!strcmp(t->name, "target-2"))
-			sick = (unsigned long)t->sent;
+			faulty_sent = (unsigned long)t->sent;
 	}
 	tr_service_release(svc);
 	free(board);
-	return sick < REQUESTS / 20 ? EXIT_SUCCESS : EXIT_FAILURE;
+	return faulty_sent < REQUESTS / 20 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/src/bench_slopes.c
+++ b/src/bench_slopes.c
@@ -1,6 +1,7 @@
 /*
- * What the decisions cost as their sizes grow: each measured at three sizes or
- * more, with a straight line fitted and its error. For docs/CAPACITY.md.
+ * Measures how the cost of the library's operations grows with their sizes.
+ * Each operation is timed at three sizes; the slope and intercept of a fitted
+ * line and its error are printed for docs/CAPACITY.md.
  */
 #include <arpa/inet.h>
 #include <malloc.h>
@@ -20,21 +21,21 @@
 #include "member.h"
 #include "service.h"
 
-#define SIZES	 3
-#define CENTRES	 4
-#define LEAST_US 30000.0
+#define SIZE_COUNT     3
+#define CENTRE_COUNT   4
+#define MIN_MEASURE_US 30000.0
 
 struct point {
 	double size;
 	double us;
 };
 
-static apr_time_t now = TR_SEC(100);
+static apr_time_t current_time = TR_SEC(100);
 
 static apr_time_t read_clock(void *ctx)
 {
 	(void)ctx;
-	return now;
+	return current_time;
 }
 
 static double wall_us(void)
@@ -45,42 +46,47 @@
 	return (double)ts.tv_sec * 1e6 + (double)ts.tv_nsec / 1e3;
 }
 
-/* Microseconds of one call, over enough calls to trust it. */
-static double time_of(void (*call)(void *ctx), void *ctx)
+/* Returns the mean time of a call in microseconds, over at least
+ * MIN_MEASURE_US. */
+static double measure_us(void (*call)(void *ctx), void *ctx)
 {
-	double began = wall_us();
-	double took = 0;
+	double start = wall_us();
+	double elapsed = 0;
 	long n = 0;
 
-	while (took < LEAST_US) {
+	while (elapsed < MIN_MEASURE_US) {
 		for (int i = 0; i < 10; i++)
 			call(ctx);
 		n += 10;
-		took = wall_us() - began;
+		elapsed = wall_us() - start;
 	}
-	return took / (double)n;
+	return elapsed / (double)n;
 }
 
-/* Least squares; the error is the largest gap from the line, of the most. */
-static void fit(const char *name, const struct point *p, const char *unit,
-		const char *per)
+/*
+ * Fits a line by least squares and prints the points, slope and intercept. The
+ * error is the largest distance from the line in percent of the largest value.
+ */
+static void print_fit(const char *name, const struct point *p, const char *unit,
+		      const char *per)
 {
-	double sx = 0, sy = 0, sxx = 0, sxy = 0, worst = 0, most = 0;
+	double sx = 0, sy = 0, sxx = 0, sxy = 0, max_error = 0, max_value = 0;
 	double slope, base;
 
-	for (int i = 0; i < SIZES; i++) {
+	for (int i = 0; i < SIZE_COUNT; i++) {
 		sx += p[i].size;
 		sy += p[i].us;
 		sxx += p[i].size * p[i].size;
 		sxy += p[i].size * p[i].us;
 	}
-	slope = (SIZES * sxy - sx * sy) / (SIZES * sxx - sx * sx);
-	base = (sy - slope * sx) / SIZES;
-	for (int i = 0; i < SIZES; i++) {
-		worst = fmax(worst, fabs(base + slope * p[i].size - p[i].us));
-		most = fmax(most, p[i].us);
+	slope = (SIZE_COUNT * sxy - sx * sy) / (SIZE_COUNT * sxx - sx * sx);
+	base = (sy - slope * sx) / SIZE_COUNT;
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		max_error = fmax(max_error,
+				 fabs(base + slope * p[i].size - p[i].us));
+		max_value = fmax(max_value, p[i].us);
 	}
-	for (int i = 0; i < SIZES; i++) {
+	for (int i = 0; i < SIZE_COUNT; i++) {
 		char at[64];
 
 		snprintf(at, sizeof(at), "%s_at_%.0f", name, p[i].size);
@@ -89,17 +95,17 @@
 	}
 	printf("%-44s %12.5f %-10s %-8s %s\n", name, slope, per, "-", "ok");
 	printf("%-44s %12.3f %-10s %-8s %s\n", name, base, "base", "-", "ok");
-	printf("%-44s %12.1f %-10s %-8s %s\n", name, worst / most * 100,
-	       "%_off_line", "-", "ok");
+	printf("%-44s %12.1f %-10s %-8s %s\n", name,
+	       max_error / max_value * 100, "%_off_line", "-", "ok");
 }
 
-struct world {
+struct bench {
 	struct tr_board board;
 	struct tr_service *svc;
 	struct tr_document doc;
 	struct tr_route route;
-	char *centres[CENTRES];
-	char names[CENTRES][8];
+	char *centres[CENTRE_COUNT];
+	char names[CENTRE_COUNT][8];
 	struct tr_vm *vms;
 	uint64_t sequence;
 	struct tr_secret secret;
@@ -107,7 +113,7 @@
 	size_t len;
 };
 
-static void make_vms(struct world *w, size_t count)
+static void make_vms(struct bench *w, size_t count)
 {
 	w->vms = calloc(count, sizeof(*w->vms));
 	for (size_t i = 0; i < count; i++) {
@@ -115,14 +121,14 @@
 
 		snprintf(vm->name, sizeof(vm->name), "vm-%zu", i);
 		snprintf(vm->data_centre, sizeof(vm->data_centre), "dc-%zu",
-			 i % CENTRES);
+			 i % CENTRE_COUNT);
 		vm->id = tr_hash_string(vm->name);
 	}
 	w->board.fleet.vms = w->vms;
 	w->board.fleet.count = count;
 }
 
-static void make_targets(struct world *w, unsigned count)
+static void make_targets(struct bench *w, unsigned count)
 {
 	struct tr_target_entry entries[TR_MAX_TARGETS];
 
@@ -132,16 +138,16 @@
 		snprintf(entries[i].address, sizeof(entries[i].address),
 			 "127.0.0.1:%u", i + 1);
 		snprintf(entries[i].data_centre, sizeof(entries[i].data_centre),
-			 "dc-%u", i % CENTRES);
+			 "dc-%u", i % CENTRE_COUNT);
 	}
 	tr_service_set_targets(&w->board, w->svc, entries, count, 1);
 }
 
-static struct world *world_new(size_t vms, unsigned targets)
+static struct bench *bench_new(size_t vms, unsigned targets)
 {
-	struct world *w = calloc(1, sizeof(*w));
+	struct bench *w = calloc(1, sizeof(*w));
 
-	for (int i = 0; i < CENTRES; i++) {
+	for (int i = 0; i < CENTRE_COUNT; i++) {
 		snprintf(w->names[i], sizeof(w->names[i]), "dc-%d", i);
 		w->centres[i] = w->names[i];
 	}
@@ -149,7 +155,7 @@
 	w->doc.service = "svc";
 	w->doc.team = "team";
 	w->doc.data_centres = w->centres;
-	w->doc.data_centres_count = CENTRES;
+	w->doc.data_centres_count = CENTRE_COUNT;
 	w->doc.target_list = "svc";
 	w->doc.floor = 1;
 	w->doc.slots = 3;
@@ -167,38 +173,38 @@
 	return w;
 }
 
-static void world_free(struct world *w)
+static void bench_free(struct bench *w)
 {
 	tr_service_release(w->svc);
 	free(w->vms);
 	free(w);
 }
 
-static void call_step(void *ctx)
+static void run_step(void *ctx)
 {
-	struct world *w = ctx;
+	struct bench *w = ctx;
 
-	now += TR_MSEC(50);
-	tr_service_step(&w->board, w->svc, now);
+	current_time += TR_MSEC(50);
+	tr_service_step(&w->board, w->svc, current_time);
 }
 
 static void bench_step(void)
 {
-	const unsigned sizes[SIZES] = { 10, 24, 64 };
-	struct point p[SIZES];
+	const unsigned sizes[SIZE_COUNT] = { 10, 24, 64 };
+	struct point p[SIZE_COUNT];
 
-	for (int i = 0; i < SIZES; i++) {
-		struct world *w = world_new(32, sizes[i]);
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		struct bench *w = bench_new(32, sizes[i]);
 
-		p[i] = (struct point){ sizes[i], time_of(call_step, w) };
-		world_free(w);
+		p[i] = (struct point){ sizes[i], measure_us(run_step, w) };
+		bench_free(w);
 	}
-	fit("step_of_a_service", p, "us", "us/target");
+	print_fit("step_of_a_service", p, "us", "us/target");
 }
 
-static void call_message(void *ctx)
+static void run_message(void *ctx)
 {
-	struct world *w = ctx;
+	struct bench *w = ctx;
 	struct tr_gossip msg;
 	char buf[CODEC_MAX];
 
@@ -214,45 +220,45 @@
 
 static void bench_message(void)
 {
-	const unsigned sizes[SIZES] = { 3, 24, 64 };
-	struct point p[SIZES];
-	struct point bytes[SIZES];
+	const unsigned sizes[SIZE_COUNT] = { 3, 24, 64 };
+	struct point p[SIZE_COUNT];
+	struct point bytes[SIZE_COUNT];
 
-	for (int i = 0; i < SIZES; i++) {
-		struct world *w = world_new(32, sizes[i]);
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		struct bench *w = bench_new(32, sizes[i]);
 		unsigned rows = (sizes[i] + 2) / 3;
 
-		p[i] = (struct point){ rows, time_of(call_message, w) };
+		p[i] = (struct point){ rows, measure_us(run_message, w) };
 		bytes[i] = (struct point){ rows, (double)w->len };
-		world_free(w);
+		bench_free(w);
 	}
-	fit("message_made_read_taken", p, "us", "us/row");
-	fit("message_length", bytes, "bytes", "bytes/row");
+	print_fit("message_made_read_taken", p, "us", "us/row");
+	print_fit("message_length", bytes, "bytes", "bytes/row");
 }
 
-static void call_cell(void *ctx)
+static void run_cell(void *ctx)
 {
-	struct world *w = ctx;
+	struct bench *w = ctx;
 
 	tr_member_update_cell(&w->board, w->svc);
 }
 
 static void bench_cell(void)
 {
-	const size_t sizes[SIZES] = { 32, 560, 5600 };
-	struct point p[SIZES];
+	const size_t sizes[SIZE_COUNT] = { 32, 560, 5600 };
+	struct point p[SIZE_COUNT];
 
-	for (int i = 0; i < SIZES; i++) {
-		struct world *w = world_new(sizes[i], 24);
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		struct bench *w = bench_new(sizes[i], 24);
 
 		p[i] = (struct point){ (double)sizes[i],
-				       time_of(call_cell, w) };
-		world_free(w);
+				       measure_us(run_cell, w) };
+		bench_free(w);
 	}
-	fit("cell_chosen_anew", p, "us", "us/vm");
+	print_fit("cell_chosen_anew", p, "us", "us/vm");
 }
 
-static void write_document(struct world *w, int routes)
+static void write_document(struct bench *w, int routes)
 {
 	size_t len =
 		(size_t)snprintf(w->text, sizeof(w->text),
@@ -268,23 +274,24 @@
 	w->len = len;
 }
 
-static void call_document(void *ctx)
+static void run_document(void *ctx)
 {
-	struct world *w = ctx;
+	struct bench *w = ctx;
 	struct tr_error err;
 
 	docfile_free(docfile_parse(w->text, w->len, "bench", &err));
 }
 
-static void call_route(void *ctx)
+static void run_route(void *ctx)
 {
-	struct world *w = ctx;
+	struct bench *w = ctx;
 
 	tr_document_route(&w->doc, "GET", "/route-1");
 }
 
-/* What a document holds, its text included, which is kept for peers. */
-static double document_bytes(struct world *w)
+/* Returns the memory of a parsed document in bytes, including its text, which a
+ * VM keeps for its peers. */
+static double document_bytes(struct bench *w)
 {
 	struct tr_error err;
 	size_t before = mallinfo2().uordblks;
@@ -297,18 +304,18 @@
 
 static void bench_document_memory(void)
 {
-	const int sizes[SIZES] = { 3, 48, 480 };
-	struct point p[SIZES];
+	const int sizes[SIZE_COUNT] = { 3, 48, 480 };
+	struct point p[SIZE_COUNT];
 
-	for (int i = 0; i < SIZES; i++) {
-		struct world *w = world_new(32, 10);
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		struct bench *w = bench_new(32, 10);
 
 		write_document(w, sizes[i]);
 		document_bytes(w);
 		p[i] = (struct point){ sizes[i], document_bytes(w) };
-		world_free(w);
+		bench_free(w);
 	}
-	fit("document_in_memory", p, "bytes", "bytes/route");
+	print_fit("document_in_memory", p, "bytes", "bytes/route");
 }
 
 struct datagrams {
@@ -318,7 +325,7 @@
 	size_t len;
 };
 
-static void call_datagram(void *ctx)
+static void run_datagram(void *ctx)
 {
 	struct datagrams *d = ctx;
 	char buf[CODEC_MAX] = { 0 };
@@ -329,11 +336,12 @@
 		abort();
 }
 
-/* The two system calls of a datagram, which the decisions do not make. */
+/* Measures the two system calls of a datagram, which the library leaves to its
+ * caller. */
 static void bench_datagram(void)
 {
-	const size_t sizes[SIZES] = { 200, 400, 800 };
-	struct point p[SIZES];
+	const size_t sizes[SIZE_COUNT] = { 200, 400, 800 };
+	struct point p[SIZE_COUNT];
 	struct datagrams d = { .addr = { .sin_family = AF_INET } };
 	socklen_t len = sizeof(d.addr);
 
@@ -343,54 +351,54 @@
 	if (bind(d.to, (struct sockaddr *)&d.addr, sizeof(d.addr)) ||
 	    getsockname(d.to, (struct sockaddr *)&d.addr, &len))
 		return;
-	for (int i = 0; i < SIZES; i++) {
+	for (int i = 0; i < SIZE_COUNT; i++) {
 		d.len = sizes[i];
 		p[i] = (struct point){ (double)sizes[i],
-				       time_of(call_datagram, &d) };
+				       measure_us(run_datagram, &d) };
 	}
 	close(d.from);
 	close(d.to);
-	fit("datagram_sent_and_received", p, "us", "us/byte");
+	print_fit("datagram_sent_and_received", p, "us", "us/byte");
 }
 
 static void bench_routes(void)
 {
-	const int sizes[SIZES] = { 3, 48, 480 };
-	struct point parse[SIZES];
-	struct point match[SIZES];
+	const int sizes[SIZE_COUNT] = { 3, 48, 480 };
+	struct point parse[SIZE_COUNT];
+	struct point match[SIZE_COUNT];
 
-	for (int i = 0; i < SIZES; i++) {
-		struct world *w = world_new(32, 10);
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		struct bench *w = bench_new(32, 10);
 		struct tr_route *routes =
 			calloc((size_t)sizes[i], sizeof(*routes));
 
 		write_document(w, sizes[i]);
 		parse[i] =
-			(struct point){ sizes[i], time_of(call_document, w) };
+			(struct point){ sizes[i], measure_us(run_document, w) };
 		for (int r = 0; r < sizes[i]; r++)
 			routes[r].path = "/some/route";
 		w->doc.routes = routes;
 		w->doc.routes_count = (unsigned)sizes[i];
-		match[i] = (struct point){ sizes[i], time_of(call_route, w) };
-		world_free(w);
+		match[i] = (struct point){ sizes[i], measure_us(run_route, w) };
+		bench_free(w);
 		free(routes);
 	}
-	fit("document_read_and_checked", parse, "us", "us/route");
-	fit("route_found", match, "us", "us/route");
+	print_fit("document_read_and_checked", parse, "us", "us/route");
+	print_fit("route_found", match, "us", "us/route");
 }
 
-struct line {
+struct queue_bench {
 	struct tr_queue q;
 	struct tr_random random;
 	uint32_t organisations;
 };
 
-static void call_queue(void *ctx)
+static void run_queue(void *ctx)
 {
-	struct line *l = ctx;
+	struct queue_bench *l = ctx;
 	struct tr_waiter waiter = {
 		.owner = l,
-		.deadline = now + TR_SEC(1000),
+		.deadline = current_time + TR_SEC(1000),
 		.organisation =
 			1 + tr_random_below(&l->random, l->organisations),
 		.priority = TR_PRIORITY_NORMAL,
@@ -398,60 +406,61 @@
 	uint32_t slot;
 	void *evicted;
 
-	tr_queue_push(&l->q, &waiter, 100, 0, now, &slot, &evicted);
-	tr_queue_pop(&l->q, now);
+	tr_queue_push(&l->q, &waiter, 100, 0, current_time, &slot, &evicted);
+	tr_queue_pop(&l->q, current_time);
 }
 
 static void bench_queue(void)
 {
-	const uint32_t sizes[SIZES] = { 10, 2700, 270000 };
-	struct point p[SIZES];
+	const uint32_t sizes[SIZE_COUNT] = { 10, 2700, 270000 };
+	struct point p[SIZE_COUNT];
 
-	for (int i = 0; i < SIZES; i++) {
-		struct line l = { .organisations = sizes[i] };
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		struct queue_bench l = { .organisations = sizes[i] };
 
 		tr_queue_init(&l.q, 64);
-		p[i] = (struct point){ sizes[i], time_of(call_queue, &l) };
+		p[i] = (struct point){ sizes[i], measure_us(run_queue, &l) };
 		tr_queue_release(&l.q);
 	}
-	fit("request_queued_and_taken", p, "us", "us/org");
+	print_fit("request_queued_and_taken", p, "us", "us/org");
 }
 
-struct keys {
+struct key_bench {
 	struct tr_dispatcher d;
 	struct tr_secret secret;
 };
 
-static void call_key(void *ctx)
+static void run_key(void *ctx)
 {
-	struct keys *k = ctx;
+	struct key_bench *k = ctx;
 	char text[TR_KEY_TEXT];
 	struct tr_key key;
 	uint32_t record;
 
-	tr_dispatcher_mint(&k->d, 1, now, text);
+	tr_dispatcher_mint(&k->d, 1, current_time, text);
 	tr_key_read(&key, &k->secret, text);
-	if (tr_dispatcher_admit(&k->d, &key, 1, 1, 0, now, &record) == TR_OK)
+	if (tr_dispatcher_admit(&k->d, &key, 1, 1, 0, current_time, &record) ==
+	    TR_OK)
 		tr_dispatcher_finish(&k->d, record, TR_OUTCOME_ANSWERED, 200,
 				     "", "", 0);
-	now += TR_MSEC(50);
-	tr_dispatcher_sweep(&k->d, now, 8);
+	current_time += TR_MSEC(50);
+	tr_dispatcher_sweep(&k->d, current_time, 8);
 }
 
 static void bench_keys(void)
 {
-	const uint32_t sizes[SIZES] = { 1000, 10000, 60000 };
-	struct point p[SIZES];
+	const uint32_t sizes[SIZE_COUNT] = { 1000, 10000, 60000 };
+	struct point p[SIZE_COUNT];
 
-	for (int i = 0; i < SIZES; i++) {
-		struct keys k = { .secret = { { 1 }, { 0 }, 0 } };
+	for (int i = 0; i < SIZE_COUNT; i++) {
+		struct key_bench k = { .secret = { { 1 }, { 0 }, 0 } };
 		struct tr_boot boot = { { 1 } };
 
 		tr_dispatcher_init(&k.d, &boot, &k.secret, sizes[i], 1, 1000);
-		p[i] = (struct point){ sizes[i], time_of(call_key, &k) };
+		p[i] = (struct point){ sizes[i], measure_us(run_key, &k) };
 		tr_dispatcher_release(&k.d);
 	}
-	fit("key_minted_admitted_answered", p, "us", "us/key");
+	print_fit("key_minted_admitted_answered", p, "us", "us/key");
 }
 
 int main(void)
--- a/src/capacity.c
+++ b/src/capacity.c
@@ -1,3 +1,8 @@
+/*
+ * The capacity model: from the sizes of a fleet and the measured cost of each
+ * thing it computes the load and the costs per VM, and compares the costs with
+ * the budgets.
+ */
 #include "capacity.h"
 
 #include <glib.h>
@@ -8,21 +13,27 @@
 #include "error.h"
 #include "yamlfile.h"
 
-#define SECONDS_A_DAY	 86400.0
-#define CALM_TICK_S	 2.0
-#define BUSY_TICK_S	 0.5
-#define STEPS_A_S	 20.0
-#define WATCH_S		 20.0
-#define READERS		 2.0
-#define LIST_READERS	 3.0
-#define POLL_CALLS	 1000.0
-#define POLL_LEAST_S	 2.0
+#define SECONDS_PER_DAY 86400.0
+/* Interval of gossip messages to a peer, and while a suspicion is raised. */
+#define GOSSIP_PERIOD_S		2.0
+#define RAISED_GOSSIP_PERIOD_S	0.5
+#define STEPS_PER_S		20.0
+#define WATCH_PERIOD_S		20.0
+#define READERS_PER_SERVICE	2.0
+#define LIST_READERS_PER_CENTRE 3.0
+/* Target rate of the polls of all VMs together, from which the poll period of a
+ * VM that does not watch follows, and the least period. */
+#define POLLS_PER_S	  1000.0
+#define MIN_POLL_PERIOD_S 2.0
+/* Time until a watch returns and a peer has pulled the document. */
 #define WATCH_AND_PULL_S 1.0
-#define PERCENT_OF_US	 1e4
-#define SIZE		 struct capacity_sizes
-#define SLOPE		 struct capacity_slopes
-#define BUDGET		 struct capacity_budgets
-#define REQ		 CYAML_FLAG_DEFAULT
+/* One percent of a core, in microseconds of processor time per second. */
+#define US_PER_S_PER_PERCENT 1e4
+
+#define SIZE   struct capacity_sizes
+#define SLOPE  struct capacity_slopes
+#define BUDGET struct capacity_budgets
+#define REQ    CYAML_FLAG_DEFAULT
 
 static const cyaml_schema_field_t size_fields[] = {
 	CYAML_FIELD_FLOAT("vms", REQ, SIZE, vms),
@@ -85,7 +96,8 @@
 	CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, struct capacity_model, fields),
 };
 
-/* Read the sizes and slopes to work with; NULL and err if they are wrong. */
+/* Reads the model from a YAML file. Returns NULL and sets err if it is not
+ * valid. */
 struct capacity_model *capacity_load(const char *path, struct tr_error *err)
 {
 	size_t len = 0;
@@ -97,9 +109,9 @@
 	m = yamlfile_load(text, len, &schema, err);
 	if (m &&
 	    (m->sizes.vms < 1 || m->sizes.services < 1 || m->sizes.cell < 1)) {
-		tr_error_set(err, TR_OUT_OF_RANGE, "sizes", "",
-			     "expected at least one VM, service and member of "
-			     "a cell");
+		tr_error_set(
+			err, TR_OUT_OF_RANGE, "sizes", "",
+			"expected vms, services and cell to be at least 1");
 		capacity_free(m);
 		return NULL;
 	}
@@ -111,37 +123,39 @@
 	yamlfile_free(&schema, model);
 }
 
-/* What follows from the sizes for one VM. */
-struct load {
+/* The load of one VM, as it follows from the sizes. */
+struct vm_load {
 	double services;
 	double targets;
-	double links;
-	double messages;
-	double rows;
-	double requests;
-	double records;
-	double poll_s;
+	double links;	 /* pairs of a service and a peer */
+	double messages; /* per second */
+	double rows;	 /* target rows per message */
+	double requests; /* per second */
+	double records;	 /* keys remembered until they expire */
+	double poll_period_s;
 };
 
-static struct load load_of(const struct capacity_model *m)
+static struct vm_load compute_load(const struct capacity_model *m)
 {
 	const struct capacity_sizes *z = &m->sizes;
-	struct load l;
+	struct vm_load l;
 
 	l.services = z->services * z->cell / z->vms;
 	l.targets = z->servers / z->services;
 	l.links = l.services * (z->cell - 1);
-	l.messages = l.links * (z->raised_share / BUSY_TICK_S +
-				(1 - z->raised_share) / CALM_TICK_S);
+	l.messages = l.links * (z->raised_share / RAISED_GOSSIP_PERIOD_S +
+				(1 - z->raised_share) / GOSSIP_PERIOD_S);
 	l.rows = l.targets / 3;
 	l.requests = z->requests_a_second / z->vms;
 	l.records = l.requests * z->keys_share * z->key_lifetime_s;
-	l.poll_s = l.services * z->vms / POLL_CALLS;
-	if (l.poll_s < POLL_LEAST_S)
-		l.poll_s = POLL_LEAST_S;
+	l.poll_period_s = l.services * z->vms / POLLS_PER_S;
+	if (l.poll_period_s < MIN_POLL_PERIOD_S)
+		l.poll_period_s = MIN_POLL_PERIOD_S;
 	return l;
 }
 
+/* Costs of one VM, but for calls, which all VMs make together. Bytes and calls
+ * are per second, percentages are of one core. */
 struct costs {
 	double gossip_bytes;
 	double document_bytes;
@@ -151,48 +165,49 @@
 	double list_percent;
 	double document_percent;
 	double memory_mb;
-	double calls;
-	double force_s;
+	double calls;	/* to the platform */
+	double force_s; /* until a change is in force in its cell */
 };
 
-static struct costs costs_of(const struct capacity_model *m,
-			     const struct load *l)
+static struct costs compute_costs(const struct capacity_model *m,
+				  const struct vm_load *l)
 {
 	const struct capacity_sizes *z = &m->sizes;
 	const struct capacity_slopes *s = &m->slopes;
 	double changes =
-		z->changes_a_day * l->services / z->services / SECONDS_A_DAY;
-	double list_changes = 2 * z->restarts_a_day / SECONDS_A_DAY;
+		z->changes_a_day * l->services / z->services / SECONDS_PER_DAY;
+	double list_changes = 2 * z->restarts_a_day / SECONDS_PER_DAY;
 	struct costs c = { 0 };
 
 	c.gossip_bytes =
 		l->messages * (s->message_bytes + s->row_bytes * l->rows);
 	c.document_bytes = changes * z->document_bytes;
 	c.list_bytes = list_changes * z->vms * z->list_row_bytes;
-	/* For each message that it sends a VM takes one in. */
+	/* A VM receives as many messages as it sends. */
 	c.gossip_percent = l->messages * (s->message_us + s->row_us * l->rows) /
-			   PERCENT_OF_US;
+			   US_PER_S_PER_PERCENT;
 	c.step_percent = s->idle_percent +
-			 l->services * STEPS_A_S *
+			 l->services * STEPS_PER_S *
 				 (s->step_us + s->step_target_us * l->targets) /
-				 PERCENT_OF_US;
+				 US_PER_S_PER_PERCENT;
 	c.list_percent = list_changes * l->services * s->cell_us_a_vm * z->vms /
-			 PERCENT_OF_US;
-	c.document_percent = changes * s->document_us / PERCENT_OF_US;
+			 US_PER_S_PER_PERCENT;
+	c.document_percent = changes * s->document_us / US_PER_S_PER_PERCENT;
 	c.memory_mb =
 		s->base_mb + l->services * s->service_kb / 1024 +
 		z->routes / z->services * l->services * s->route_kb / 1024 +
 		l->records * s->record_bytes / 1048576 +
 		z->vms * z->list_row_bytes * 2 / 1048576;
-	c.calls = z->services * READERS / WATCH_S +
-		  z->services * z->cell / l->poll_s +
-		  LIST_READERS * z->data_centres * (1 / WATCH_S + list_changes);
-	c.force_s = BUSY_TICK_S + WATCH_AND_PULL_S;
+	c.calls = z->services * READERS_PER_SERVICE / WATCH_PERIOD_S +
+		  z->services * z->cell / l->poll_period_s +
+		  LIST_READERS_PER_CENTRE * z->data_centres *
+			  (1 / WATCH_PERIOD_S + list_changes);
+	c.force_s = RAISED_GOSSIP_PERIOD_S + WATCH_AND_PULL_S;
 	return c;
 }
 
-static void put(GString *out, const char *what, double value, const char *unit,
-		double budget, const char *mechanism)
+static void add_row(GString *out, const char *what, double value,
+		    const char *unit, double budget, const char *mechanism)
 {
 	g_string_append_printf(out, "| %s | %.4g %s | ", what, value, unit);
 	if (budget > 0)
@@ -203,70 +218,72 @@
 	g_string_append_printf(out, " | %s |\n", mechanism);
 }
 
-static void put_sums(GString *out, const struct capacity_model *m,
-		     const struct costs *c)
+static void add_totals(GString *out, const struct capacity_model *m,
+		       const struct costs *c)
 {
 	const struct capacity_budgets *b = &m->budgets;
 
-	put(out, "control bytes sent, without the list of VMs",
-	    c->gossip_bytes + c->document_bytes, "B/s", b->bytes_a_second,
-	    "gossip inside cells; documents pulled once a change");
-	put(out, "control bytes, with whole lists of VMs",
-	    c->gossip_bytes + c->document_bytes + c->list_bytes, "B/s",
-	    b->bytes_a_second, "the list is pulled whole at each change");
-	put(out, "control processor time",
-	    c->gossip_percent + c->step_percent + c->list_percent +
-		    c->document_percent,
-	    "% of a core", b->core_percent,
-	    "steps, messages, cells worked out anew");
-	put(out, "memory", c->memory_mb, "MB", b->mb,
-	    "fixed rows a service, records of keys, the list");
-	put(out, "calls to the platform, all VMs", c->calls, "1/s",
-	    b->platform_calls_a_second,
-	    "two watching readers a service, slow polls of the others");
-	put(out, "a change in force in its cell", c->force_s, "s", b->force_s,
-	    "watch, then one hop of gossip and a pull");
+	add_row(out, "control bytes sent, without the list of VMs",
+		c->gossip_bytes + c->document_bytes, "B/s", b->bytes_a_second,
+		"gossip inside cells; documents pulled once a change");
+	add_row(out, "control bytes, with whole lists of VMs",
+		c->gossip_bytes + c->document_bytes + c->list_bytes, "B/s",
+		b->bytes_a_second, "the list is pulled whole at each change");
+	add_row(out, "control processor time",
+		c->gossip_percent + c->step_percent + c->list_percent +
+			c->document_percent,
+		"% of a core", b->core_percent,
+		"steps, messages, cells worked out anew");
+	add_row(out, "memory", c->memory_mb, "MB", b->mb,
+		"fixed rows a service, records of keys, the list");
+	add_row(out, "calls to the platform, all VMs", c->calls, "1/s",
+		b->platform_calls_a_second,
+		"two watching readers a service, slow polls of the others");
+	add_row(out, "a change in force in its cell", c->force_s, "s",
+		b->force_s, "watch, then one hop of gossip and a pull");
 }
 
-/* The page's tables as Markdown; the caller frees them. */
+/* Returns the tables of docs/CAPACITY.md as Markdown; the caller frees the
+ * text. */
 char *capacity_page(const struct capacity_model *model)
 {
-	struct load l = load_of(model);
-	struct costs c = costs_of(model, &l);
+	struct vm_load l = compute_load(model);
+	struct costs c = compute_costs(model, &l);
 	GString *out = g_string_new(NULL);
 	char *text;
 
 	g_string_append(out, "| per VM | value | budget | verdict | mechanism "
 			     "|\n|---|---|---|---|---|\n");
-	put_sums(out, model, &c);
+	add_totals(out, model, &c);
 	g_string_append(out, "\n| part | value | budget | verdict | mechanism "
 			     "|\n|---|---|---|---|---|\n");
-	put(out, "services served", l.services, "", 0,
-	    "cells by rendezvous hashing");
-	put(out, "targets known", l.services * l.targets, "", 0,
-	    "only those of its services");
-	put(out, "peers spoken to", l.links, "", 0, "cells");
-	put(out, "messages sent", l.messages, "1/s", 0,
-	    "one to each peer in 2 s, in 0.5 s while raised");
-	put(out, "gossip", c.gossip_bytes, "B/s", 0,
-	    "a third of the rows in turn, and those under suspicion");
-	put(out, "documents pulled", c.document_bytes, "B/s", 0, "by revision");
-	put(out, "lists of VMs pulled", c.list_bytes, "B/s", 0,
-	    "whole; deltas are the change that would meet the budget");
-	put(out, "processor: messages", c.gossip_percent, "%", 0,
-	    "XDR, BLAKE2b");
-	put(out, "processor: steps", c.step_percent, "%", 0,
-	    "20 a second and service");
-	put(out, "processor: lists", c.list_percent, "%", 0,
-	    "every cell chosen anew at each change");
-	put(out, "requests", l.requests, "1/s", 0, "proxied");
-	put(out, "processor: requests, not control",
-	    l.requests * model->slopes.request_us / PERCENT_OF_US, "%", 0,
-	    "one loop, one thread");
-	put(out, "keys remembered", l.records, "", 0,
-	    "till their expiry; a full table refuses");
-	put(out, "poll of a VM that does not watch", l.poll_s, "s", 0,
-	    "the period grows with the fleet");
+	add_row(out, "services served", l.services, "", 0,
+		"cells by rendezvous hashing");
+	add_row(out, "targets known", l.services * l.targets, "", 0,
+		"only those of its services");
+	add_row(out, "peers spoken to", l.links, "", 0, "cells");
+	add_row(out, "messages sent", l.messages, "1/s", 0,
+		"one to each peer in 2 s, in 0.5 s while raised");
+	add_row(out, "gossip", c.gossip_bytes, "B/s", 0,
+		"a third of the rows in turn, and those under suspicion");
+	add_row(out, "documents pulled", c.document_bytes, "B/s", 0,
+		"by revision");
+	add_row(out, "lists of VMs pulled", c.list_bytes, "B/s", 0,
+		"whole; deltas are the change that would meet the budget");
+	add_row(out, "processor: messages", c.gossip_percent, "%", 0,
+		"XDR, BLAKE2b");
+	add_row(out, "processor: steps", c.step_percent, "%", 0,
+		"20 a second and service");
+	add_row(out, "processor: lists", c.list_percent, "%", 0,
+		"every cell chosen anew at each change");
+	add_row(out, "requests", l.requests, "1/s", 0, "proxied");
+	add_row(out, "processor: requests, not control",
+		l.requests * model->slopes.request_us / US_PER_S_PER_PERCENT,
+		"%", 0, "one loop, one thread");
+	add_row(out, "keys remembered", l.records, "", 0,
+		"till their expiry; a full table refuses");
+	add_row(out, "poll of a VM that does not watch", l.poll_period_s, "s",
+		0, "the period grows with the fleet");
 	text = strdup(out->str);
 	g_string_free(out, TRUE);
 	return text;
--- a/src/capacity.h
+++ b/src/capacity.h
@@ -4,9 +4,14 @@
 #include <stddef.h>
 #include <stdint.h>
 
+/*
+ * Capacity model: what a fleet of given sizes costs each VM. The fields are
+ * named after the keys of the YAML file, see examples/capacity.yaml.
+ */
+
 struct tr_error;
 
-/* The sizes to plan for. */
+/* The sizes of the fleet to plan for. */
 struct capacity_sizes {
 	double vms;
 	double servers;
@@ -17,15 +22,15 @@
 	double changes_a_day;
 	double restarts_a_day;
 	double data_centres;
-	double cell;
+	double cell; /* VMs of a cell */
 	double document_bytes;
 	double list_row_bytes;
-	double keys_share;
+	double keys_share; /* of requests that need a key */
 	double key_lifetime_s;
-	double raised_share;
+	double raised_share; /* of the time with the shorter gossip period */
 };
 
-/* What one thing costs, measured by "./dev measure slopes". */
+/* The cost of each thing, as measured by "./dev measure slopes" and "path". */
 struct capacity_slopes {
 	double base_mb;
 	double service_kb;
@@ -43,11 +48,12 @@
 	double request_us;
 };
 
+/* The limits that the costs are compared with. */
 struct capacity_budgets {
 	double core_percent;
 	double mb;
 	double bytes_a_second;
-	double force_s;
+	double force_s; /* until a change is in force in its cell */
 	double platform_calls_a_second;
 };
 
