--- a/src/cmd_lookup.c
+++ b/src/cmd_lookup.c
@@ -16,8 +16,7 @@
 	struct arg_lit *help = arg_lit0("h", "help", "show this help");
 	struct arg_str *entry = arg_str1(NULL, "entry", "IP:PORT",
 					 "address of any VM for callers");
-	struct arg_str *service =
-		arg_str1(NULL, "service", "NAME", "name of the service");
+	struct arg_str *service = arg_str1(NULL, "service", "NAME", "service");
 	struct arg_str *centre = arg_str0(NULL, "data-centre", "NAME",
 					  "the caller's data centre");
 	struct arg_int *keys =
--- a/src/explain.c
+++ b/src/explain.c
@@ -404,7 +404,7 @@
 			"configuration %u had been active elsewhere for "
 			"%.1f s\n",
 			report->newer_version, report->newer_config_age_s);
-	fputs("state known to this VM, in seconds from the start:\n", out);
+	fputs("relevant events on this VM, in seconds from the start:\n", out);
 	if (report->config_line)
 		print_line(report->config_line, start, out);
 	print_target_states(lines, report, out);
--- a/src/load_options.c
+++ b/src/load_options.c
@@ -43,8 +43,7 @@
 enum load_parse load_parse(struct load_options *o, int argc, char **argv)
 {
 	struct arg_lit *help = arg_lit0("h", "help", "show this help");
-	struct arg_str *service =
-		arg_str1(NULL, "service", "NAME", "name of the service");
+	struct arg_str *service = arg_str1(NULL, "service", "NAME", "service");
 	struct arg_file *entries = arg_file0(
 		NULL, "entries", "FILE", "file with IP:PORT of a VM per line");
 	struct arg_file *targets =
--- a/src/toucanreel.c
+++ b/src/toucanreel.c
@@ -31,7 +31,7 @@
 	for (size_t i = 0; i < COMMANDS; i++)
 		fprintf(out, "  %-10s %s\n", commands[i].name,
 			commands[i].summary);
-	fprintf(out, "\nSee 'toucanreel COMMAND --help' for the options.\n");
+	fprintf(out, "\nMore help: 'toucanreel COMMAND --help'\n");
 }
 
 /*
