--- a/src/cmd_status.c
+++ b/src/cmd_status.c
@@ -185,7 +185,7 @@
 
 	printf("%-20s %-8s %-22s %8s %8s %8s %8s %6s  %-4s  %s\n", "VM",
 	       "centre", "state", "requests", "answered", "not-run", "unknown",
-	       "now", "plat", "serves (* gives orders)");
+	       "active", "plat", "serves (* = owner)");
 	json_array_foreach(vms, i, vm) print_vm(vm);
 	print_services(vms);
 }
@@ -198,8 +198,8 @@
 
 	if (!vms) {
 		fprintf(stderr,
-			"status: %s: expected the operator address of "
-			"a VM that knows the fleet\n",
+			"status: %s: cannot read the fleet; expected the "
+			"operator address of a VM\n",
 			vm);
 		return EXIT_FOUND_FAULT;
 	}
--- a/src/cmd_timeline.c
+++ b/src/cmd_timeline.c
@@ -187,8 +187,8 @@
 				    format->count ? format->sval[0] : "text");
 	} else {
 		fprintf(stderr,
-			"timeline: %s: expected the operator address "
-			"of a VM that knows the fleet\n",
+			"timeline: %s: cannot read the fleet; expected the "
+			"operator address of a VM\n",
 			vm->sval[0]);
 		code = EXIT_FOUND_FAULT;
 	}
--- a/src/load_options.c
+++ b/src/load_options.c
@@ -24,19 +24,19 @@
 	return lines;
 }
 
-static double number(const struct arg_dbl *arg, double otherwise)
+static double double_or(const struct arg_dbl *arg, double fallback)
 {
-	return arg->count ? arg->dval[0] : otherwise;
+	return arg->count ? arg->dval[0] : fallback;
 }
 
-static int integer(const struct arg_int *arg, int otherwise)
+static int int_or(const struct arg_int *arg, int fallback)
 {
-	return arg->count ? arg->ival[0] : otherwise;
+	return arg->count ? arg->ival[0] : fallback;
 }
 
-static const char *word(const struct arg_str *arg, const char *otherwise)
+static const char *string_or(const struct arg_str *arg, const char *fallback)
 {
-	return arg->count ? arg->sval[0] : otherwise;
+	return arg->count ? arg->sval[0] : fallback;
 }
 
 /* Parses the command line into o. */
@@ -125,24 +125,24 @@
 	}
 	*o = (struct load_options){
 		.service = service->sval[0],
-		.rate = number(rate, 100),
-		.seconds = number(seconds, 10),
-		.once_share = number(never, 0),
-		.required_share = number(must, 0),
-		.read_path = word(read_path, "/"),
-		.once_path = word(once_path, "/"),
-		.required_path = word(required_path, "/"),
-		.data_centre = word(centre, NULL),
-		.prefix = word(prefix, "r"),
-		.callers = (unsigned)integer(callers, 16),
-		.organisations = (unsigned)integer(orgs, 0),
-		.retries = (unsigned)integer(retries, 0),
+		.rate = double_or(rate, 100),
+		.seconds = double_or(seconds, 10),
+		.once_share = double_or(never, 0),
+		.required_share = double_or(must, 0),
+		.read_path = string_or(read_path, "/"),
+		.once_path = string_or(once_path, "/"),
+		.required_path = string_or(required_path, "/"),
+		.data_centre = string_or(centre, NULL),
+		.prefix = string_or(prefix, "r"),
+		.callers = (unsigned)int_or(callers, 16),
+		.organisations = (unsigned)int_or(orgs, 0),
+		.retries = (unsigned)int_or(retries, 0),
 		.retry_immediately = retry_immediately->count > 0,
 		.direct = direct->count > 0,
-		.deadline_ms = integer(deadline, 0),
-		.body_size = (size_t)integer(body_size, 200),
-		.response_padding = integer(response_padding, 0),
-		.seed = (uint64_t)integer(seed, 1),
+		.deadline_ms = int_or(deadline, 0),
+		.body_size = (size_t)int_or(body_size, 200),
+		.response_padding = int_or(response_padding, 0),
+		.seed = (uint64_t)int_or(seed, 1),
 		.report = report->count ? report->filename[0] : NULL,
 		.series = series->count ? series->filename[0] : NULL,
 	};
--- a/src/load_report.c
+++ b/src/load_report.c
@@ -117,18 +117,18 @@
 static json_t *count_codes(const struct load *load)
 {
 	json_t *json = json_object();
-	char word[64];
+	char name[64];
 
 	for (size_t i = 0; i < load->ops_count; i++) {
 		const struct op *op = load->ops[i];
 
-		snprintf(word, sizeof(word), "%d %s", op->code,
+		snprintf(name, sizeof(name), "%d %s", op->code,
 			 op->code ? tr_result_name((enum tr_result)op->code)
 				  : "no-answer");
 		json_object_set_new(
-			json, word,
+			json, name,
 			json_integer(json_integer_value(
-					     json_object_get(json, word)) +
+					     json_object_get(json, name)) +
 				     1));
 	}
 	return json;
