--- a/entry/entry.h
+++ b/entry/entry.h
@@ -1,6 +1,10 @@
 #ifndef ENTRY_H
 #define ENTRY_H
 
+/*
+ * The shared state of an entry VM, and what is applied to it from the store and
+ * from peers.
+ */
 #include "allowance.h"
 #include "caller.h"
 #include "clock.h"
@@ -22,13 +26,14 @@
 struct mesh;
 struct reader;
 
+/* Counters of the metrics endpoint. */
 struct entry_counts {
 	uint64_t requests;
-	uint64_t answered;
-	uint64_t refused;
-	uint64_t failed;
+	uint64_t answered; /* replies of targets that were forwarded */
+	uint64_t refused;  /* requests answered with 503 by this VM */
+	uint64_t failed;   /* with another status by this VM */
 	uint64_t repeats;
-	uint64_t resent;
+	uint64_t resent; /* repeats that the bound allowed */
 	uint64_t repeats_denied;
 	uint64_t callers_gone;
 	uint64_t lookups;
@@ -41,22 +46,21 @@
 	uint64_t targets_refused;
 	uint64_t messages_refused;
 	uint64_t reused;
-	uint64_t reused_dead;
+	uint64_t reused_dead; /* idle connections found dead when reused */
 	uint64_t keys_refused;
-	uint64_t unproven;
+	uint64_t unproven; /* refused for want of a proof or of newer routes */
 	uint64_t over_limit;
 	uint64_t fatal;
 	uint64_t notices_refused;
 };
 
 /*
- * The blackboard of an entry VM. settles_at: until when requests under limits
- * wait after its start; repeats_known_since: from when on it knows all repeats
- * that it sent. Writers: reader.c and mesh.c the roster's
- * listing, the routes, their proof and the members; upstream.c the rows' work
- * and evidence; repeat.c the allowances; exchange_identify.c the limits;
- * exchange_fatal.c and mesh_fatal.c the requests under which targets end;
- * kept.c the connections that rest.
+ * The shared state of an entry VM. Each part has its writers: reader.c and
+ * mesh.c write the list of targets in the roster, the routes, their proof and
+ * the members; upstream.c the work and the evidence of the roster's rows;
+ * repeat.c the allowances; exchange_identify.c the limits; exchange_fatal.c and
+ * mesh_fatal.c the requests under which targets end; kept.c the idle
+ * connections.
  */
 struct entry {
 	struct loop *loop;
@@ -74,31 +78,33 @@
 	struct tr_proof proof;
 	struct tr_fatals fatals;
 	struct kept kept;
-	uint64_t refused_revision;
-	double draw;
-	bool leaving;
-	bool ready;
-	apr_time_t stepped_at;
-	apr_time_t idle_looked_at;
-	apr_time_t floors_looked_at;
-	apr_time_t repeats_looked_at;
-	apr_time_t hold_until;
+	uint64_t refused_revision; /* of the last invalid configuration */
+	double split_position;	   /* quasi-random draw of the traffic split */
+	bool leaving;		   /* since the stop signal */
+	bool ready;		   /* since the routes and the list are here */
+	apr_time_t stepped_at;	   /* last step of the event loop */
+	apr_time_t idle_checked_at;
+	apr_time_t floors_logged_at;
+	apr_time_t repeats_logged_at;
+	apr_time_t hold_until; /* requests are held after a pause */
 	apr_time_t started_at;
+	/* Since when this VM knows of all repeats that it sent. */
 	apr_time_t repeats_known_since;
-	apr_time_t settles_at;
-	GPtrArray *held;
+	/* Until then requests are held if organisations have limits. */
+	apr_time_t limits_settle_at;
+	GPtrArray *held_callers; /* callers whose requests are held */
 	struct mesh *mesh;
 	struct reader *reader;
-	struct listener front;
-	struct listener directory;
-	struct listener readiness;
+	struct listener front;	   /* requests of callers */
+	struct listener directory; /* lookups of entry VMs */
+	struct listener readiness; /* health checks of the platform */
 	struct listener metrics;
 	struct exchange *exchanges;
 	unsigned exchanges_count;
 	struct entry_counts counts;
-	struct tr_pacer refusal_lines;
-	struct tr_pacer notice_lines;
-	GArray *times;
+	struct tr_pacer refusal_log_limiter;
+	struct tr_pacer notice_log_limiter;
+	GArray *times; /* latency histograms, see times.h */
 };
 
 static inline apr_time_t entry_now(const struct entry *e)
@@ -106,16 +112,16 @@
 	return tr_clock_now(loop_clock(e->loop));
 }
 
-bool entry_item(struct entry *e, const struct store_item *item,
-		const char *from, struct tr_target_record *record);
-void entry_target(struct entry *e, const struct tr_target_record *record,
-		  const char *from);
-void entry_offer_routes(struct entry *e, const struct store_item *item,
+bool entry_apply_item(struct entry *e, const struct store_item *item,
+		      const char *from, struct tr_target_record *record);
+void entry_apply_target(struct entry *e, const struct tr_target_record *record,
+			const char *from);
+void entry_apply_routes(struct entry *e, const struct store_item *item,
 			const char *from);
-bool entry_paused(struct entry *e, apr_time_t now);
-void entry_set_bounds(struct entry *e);
+bool entry_check_pause(struct entry *e, apr_time_t now);
+void entry_apply_bounds(struct entry *e);
 apr_time_t entry_view_age(const struct entry *e);
-bool entry_vouches(const struct entry *e);
+bool entry_may_use_keys(const struct entry *e);
 bool entry_takes_callers(const struct entry *e);
 struct tr_allowance *entry_allowance(struct entry *e, uint32_t service);
 
--- a/entry/eventlog.h
+++ b/entry/eventlog.h
@@ -3,11 +3,11 @@
 
 #include <stdint.h>
 
-/* What a line is about; under load the last kinds are left out first. */
+/* Class of a line. Under load, the later classes are dropped first. */
 enum event_class {
-	EVENT_LIFE,
+	EVENT_LIFE, /* start, stop and reload of this process */
 	EVENT_FAILURE,
-	EVENT_BELIEF,
+	EVENT_BELIEF, /* a change in what this VM assumes of the fleet */
 	EVENT_REQUEST,
 	EVENT_CLASSES,
 };
@@ -16,6 +16,6 @@
 void eventlog(enum event_class class, const char *event, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 void eventlog_flush(void);
-uint64_t eventlog_left_out(enum event_class class);
+uint64_t eventlog_dropped(enum event_class class);
 
 #endif
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -1,6 +1,5 @@
 /*
- * One request of a caller: which route, which target, whether to send it once
- * more, and which answer is true of it.
+ * Attempts of a request: choice of the target, retries, hedging and the timer.
  */
 #include "exchange.h"
 
@@ -14,26 +13,36 @@
 #include "repeat.h"
 #include "exchange_internal.h"
 
-/* A running attempt is seconded by another when its target is gray with this
- * probability: from there on waiting is worth less than a second target. */
-#define SECOND_RISK 0.15
+/*
+ * A running attempt is hedged by a second one when its target is gray with this
+ * probability. From there on, waiting is worth less than a second target.
+ */
+#define HEDGE_RISK 0.15
 
-/* Standard deviation of the logarithm of the times of work that is queued: near
- * that of an exponential tail. With that of the service alone days of high load
- * lost up to 0.02 of their worth to targets that were suspected for a queue. */
+/*
+ * Standard deviation of the logarithm of the latency of queued work, near that
+ * of an exponential tail. With the service's own spread, days of high load lost
+ * up to 0.02 of their worth to targets that were suspected because of a queue.
+ */
 #define QUEUED_SPREAD 0.75
 
-/* How often a request that waits for another's answer looks for it. */
-#define WAIT_STEP TR_MSEC(50)
+/*
+ * How often a request that waits for the same request elsewhere checks on it.
+ */
+#define WAIT_POLL_PERIOD TR_MSEC(50)
 
 static void set_timer(struct exchange *x);
 static void upstream_done(void *ctx, struct upstream *u, enum upstream_end how);
 
-static GString *head_for(const struct exchange *x,
-			 const struct tr_instance *row)
+/*
+ * Returns the request head for a target, with the time left and the expected
+ * target.
+ */
+static GString *head_for_target(const struct exchange *x,
+				const struct tr_instance *row)
 {
 	const struct dialect *d = x->e->dialect;
-	apr_time_t left = x->ends_at - entry_now(x->e);
+	apr_time_t left = x->deadline - entry_now(x->e);
 	GString *head = g_string_new_len(x->head->str, (gssize)x->head->len);
 
 	g_string_append_printf(head, "%s: %ld\r\n%s: %s\r\n\r\n",
@@ -43,15 +52,16 @@
 	return head;
 }
 
-static struct upstream *free_try(struct exchange *x)
+static struct upstream *free_upstream(struct exchange *x)
 {
-	for (int i = 0; i < TRIES; i++)
-		if (!x->tries[i].active)
-			return &x->tries[i];
+	for (int i = 0; i < MAX_UPSTREAMS; i++)
+		if (!x->upstreams[i].active)
+			return &x->upstreams[i];
 	return NULL;
 }
 
-static enum tr_place_result choose(struct exchange *x, struct tr_placing *p)
+static enum tr_place_result choose_target(struct exchange *x,
+					  struct tr_placement *p)
 {
 	const struct entry *e = x->e;
 	apr_time_t now = entry_now(e);
@@ -60,35 +70,40 @@
 	enum tr_place_result res;
 	struct tr_place_request req = {
 		.service = x->service,
-		.usual = exchange_usual(x),
+		.expected_work = exchange_typical_latency(x),
 		.spread = tr_service_stats_spread(svc),
-		.fail_age = tr_service_stats_fail_age(svc, aim),
+		.failure_age = tr_service_stats_failure_age(svc, aim),
 		.standing_queue = svc->standing_queue,
 		.may_repeat = x->route->kind == TR_KIND_SAFE &&
 			      x->runs + 1 < x->route->attempts,
 		.aim_left = x->arrived + aim - now,
-		.time_left = x->ends_at - now,
+		.time_left = x->deadline - now,
 		.data_centre = e->members.nodes[0].data_centre,
 		.tried = x->tried,
 		.tried_count = x->tried_count,
 		.body_bytes = x->body->len,
 		.keeps = x->keeps,
 		.floor_share = e->settings->bounds.floor_share,
-		.wanted = tr_allowance_rate(entry_allowance(x->e, x->service),
-					    &e->repeat_bound, now),
-		.heard = exchange_heard(x),
+		.request_rate =
+			tr_allowance_rate(entry_allowance(x->e, x->service),
+					  &e->repeat_bound, now),
+		.heard = exchange_heard_share(x),
 	};
 
-	req.turns.place = tr_membership_place(&e->members, now, &req.turns.vms);
+	req.turns.rank = tr_membership_rank(&e->members, now, &req.turns.vms);
 	res = tr_place(&e->roster, &req, &x->e->random, now, p);
 	if (res != TR_PLACE_NONE_KNOWN)
-		tr_service_stats_expect(svc, p->least_takes, aim, now);
+		tr_service_stats_track_queue(svc, p->shortest_time, aim, now);
 	return res;
 }
 
-/* Behind other work nobody knows when the answer is due: it is not called late
- * sooner than work with an exponential tail is. */
-static double spread_at(const struct exchange *x, const struct tr_placing *p)
+/*
+ * Returns the spread of the expected latency. Behind queued work, the time is
+ * uncertain: the spread is then at least that of an exponential tail, so that
+ * the answer is not called late too early.
+ */
+static double latency_spread(const struct exchange *x,
+			     const struct tr_placement *p)
 {
 	double spread =
 		tr_service_stats_spread(&x->e->roster.services[x->service]);
@@ -96,66 +111,71 @@
 	return p->wait && spread < QUEUED_SPREAD ? QUEUED_SPREAD : spread;
 }
 
-static int send_to(struct exchange *x, const struct tr_placing *p)
+/* Starts an attempt at a target. Returns 0, or -1 if it failed at once. */
+static int send_to(struct exchange *x, const struct tr_placement *p)
 {
 	struct entry *e = x->e;
 	const struct tr_instance *row = &e->roster.rows[p->row];
 	struct upstream_request request = {
 		.request_id = x->id,
-		.head = head_for(x, row),
+		.head = head_for_target(x, row),
 		.body = x->body,
 		.head_only = !strcmp(x->method, "HEAD"),
-		.expected = exchange_usual(x) + p->wait,
-		.spread = spread_at(x, p),
+		.expected = exchange_typical_latency(x) + p->wait,
+		.spread = latency_spread(x, p),
 		.queued = p->wait > 0,
 		.keeps = x->keeps,
-		.ends_known = tr_fatal_known(&e->fatals, x->identity),
+		.known_exits = tr_fatal_count_ends(&e->fatals, x->identity),
 	};
 	int res;
 
 	if (row->cold_until > entry_now(e))
-		request.expected += exchange_usual(x);
+		request.expected += exchange_typical_latency(x);
 	x->risk[x->tried_count] = p->risk;
 	x->in_flight[x->tried_count] = row->in_flight + row->others_in_flight;
 	x->tried[x->tried_count++] = p->row;
 	x->for_floor += p->for_floor;
 	x->runs++;
-	res = upstream_start(free_try(x), e, p->row, &request, upstream_done,
-			     x);
-	/* Before the others send one too. */
+	res = upstream_start(free_upstream(x), e, p->row, &request,
+			     upstream_done, x);
+	/* Tell the other VMs before they send one for the floor as well. */
 	if (p->for_floor)
-		mesh_tell_now(e->mesh);
+		mesh_broadcast_now(e->mesh);
 	return res;
 }
 
-static const char *const place_words[] = { "found",    "no-target", "all-tried",
-					   "too-late", "limited",   "resting" };
+static const char *const place_result_names[] = { "found",     "no-target",
+						  "all-tried", "too-late",
+						  "limited",   "resting" };
 
-/* Send the request to a target, or let it wait; NULL, or why neither. */
+/*
+ * Sends the request to a target or lets it wait. Returns NULL, or the reason
+ * why neither is possible.
+ */
 const char *exchange_send(struct exchange *x)
 {
 	enum tr_fatal_verdict verdict;
-	struct tr_placing p;
+	struct tr_placement p;
 
-	/* The proof may have ended while the request waited. */
-	if (x->keyed && !entry_vouches(x->e))
+	/* The proof may have expired while the request was held. */
+	if (x->needs_key && !entry_may_use_keys(x->e))
 		return "unproven";
 	verdict = exchange_fatal_admit(x);
 	if (verdict == TR_FATAL_REFUSE) {
-		x->return_after = tr_fatal_return_after(
+		x->retry_after = tr_fatal_retry_after(
 			&x->e->fatals, x->identity, entry_now(x->e));
 		return "crashes-targets";
 	}
-	x->waits = verdict == TR_FATAL_WAIT;
-	if (x->waits) {
+	x->waiting = verdict == TR_FATAL_WAIT;
+	if (x->waiting) {
 		set_timer(x);
 		return NULL;
 	}
-	while (x->tried_count < TRIED_MOST) {
-		enum tr_place_result res = choose(x, &p);
+	while (x->tried_count < MAX_TRIED_TARGETS) {
+		enum tr_place_result res = choose_target(x, &p);
 
 		if (res != TR_PLACE_FOUND)
-			return place_words[res];
+			return place_result_names[res];
 		if (!send_to(x, &p)) {
 			set_timer(x);
 			return NULL;
@@ -165,42 +185,54 @@
 	return "all-tried";
 }
 
+/*
+ * Returns whether one more attempt is possible, and spends a repeat of the
+ * fleet's bound if so.
+ */
 static bool may_repeat(struct exchange *x)
 {
 	struct entry *e = x->e;
 
-	if (x->done || x->tried_count >= TRIED_MOST || !free_try(x) ||
-	    x->ends_at - entry_now(e) < exchange_usual(x) / 2 ||
+	if (x->done || x->tried_count >= MAX_TRIED_TARGETS ||
+	    !free_upstream(x) ||
+	    x->deadline - entry_now(e) < exchange_typical_latency(x) / 2 ||
 	    !tr_fatal_may_repeat(&e->fatals, x->identity))
 		return false;
 	if (repeat_admit(e, x->service))
 		return true;
-	x->bound_reached = true;
+	x->budget_exhausted = true;
 	return false;
 }
 
-/* Second a running attempt whose target is probably gray. */
-static void second(struct exchange *x, const struct upstream *u)
+/*
+ * Hedges a late attempt: sends the request to a second target if that is less
+ * likely to be gray.
+ */
+static void hedge(struct exchange *x, const struct upstream *u)
 {
 	const struct tr_roster *roster = &x->e->roster;
 	double risk = tr_gray_probability(&roster->rows[u->row].gray,
 					  entry_now(x->e));
-	struct tr_placing p;
+	struct tr_placement p;
 
-	if (!tr_mechanism_on(TR_MECH_SECONDING))
+	if (!tr_mechanism_enabled(TR_MECH_SECONDING))
 		return;
 	if (x->route->kind != TR_KIND_SAFE || x->runs >= x->route->attempts ||
-	    !free_try(x) || risk < SECOND_RISK)
+	    !free_upstream(x) || risk < HEDGE_RISK)
 		return;
-	if (choose(x, &p) != TR_PLACE_FOUND || p.risk >= risk || !may_repeat(x))
+	if (choose_target(x, &p) != TR_PLACE_FOUND || p.risk >= risk ||
+	    !may_repeat(x))
 		return;
 	x->e->counts.repeats++;
 	if (send_to(x, &p))
 		x->runs--;
 }
 
-/* Send a request that has waited for another's answer; or give it up. */
-static void begin(struct exchange *x)
+/*
+ * Sends a request that has waited for the same request elsewhere, or gives it
+ * up.
+ */
+static void send_waiting(struct exchange *x)
 {
 	const char *why = exchange_send(x);
 
@@ -208,62 +240,67 @@
 		exchange_give_up(x, why);
 }
 
-/* May any of its attempts have run? */
+/* Returns whether any attempt may have run. */
 static bool may_have_run(const struct exchange *x)
 {
 	bool any = x->maybe_ran;
 
-	for (int i = 0; i < TRIES; i++)
-		any |= x->tries[i].active &&
-		       upstream_may_have_run(&x->tries[i]);
+	for (int i = 0; i < MAX_UPSTREAMS; i++)
+		any |= x->upstreams[i].active &&
+		       upstream_may_have_run(&x->upstreams[i]);
 	return any;
 }
 
-static void look(void *ctx)
+/* Handles the deadline, the end of a wait and the ages of running attempts. */
+static void on_timer(void *ctx)
 {
 	struct exchange *x = ctx;
 	apr_time_t now = entry_now(x->e);
 
 	x->timer = NULL;
-	if (now >= x->ends_at) {
+	if (now >= x->deadline) {
 		x->maybe_ran = may_have_run(x);
-		for (int i = 0; i < TRIES; i++)
-			upstream_stop(&x->tries[i], UPSTREAM_TIMED_OUT);
-		exchange_answer_own(x, x->maybe_ran ? 504 : 503, "timeout");
+		for (int i = 0; i < MAX_UPSTREAMS; i++)
+			upstream_stop(&x->upstreams[i], UPSTREAM_TIMED_OUT);
+		exchange_reply_local(x, x->maybe_ran ? 504 : 503, "timeout");
 		return;
 	}
-	if (x->waits) {
-		begin(x);
+	if (x->waiting) {
+		send_waiting(x);
 		return;
 	}
-	for (int i = 0; i < TRIES && !x->done; i++) {
-		struct upstream *u = &x->tries[i];
+	for (int i = 0; i < MAX_UPSTREAMS && !x->done; i++) {
+		struct upstream *u = &x->upstreams[i];
 
 		if (!u->active)
 			continue;
-		upstream_look(u, now);
+		upstream_check_age(u, now);
 		if (!x->done && u->active && u->stage >= TR_STAGE_LATE)
-			second(x, u);
+			hedge(x, u);
 	}
 	if (!x->done)
 		set_timer(x);
 }
 
+/*
+ * Arms the timer for the next of these events. Checks the ages of attempts,
+ * which may end one, and with it the exchange.
+ */
 static void set_timer(struct exchange *x)
 {
 	apr_time_t now = entry_now(x->e);
-	apr_time_t at = x->ends_at;
+	apr_time_t at = x->deadline;
 
-	if (x->waits && now + WAIT_STEP < at)
-		at = now + WAIT_STEP;
+	if (x->waiting && now + WAIT_POLL_PERIOD < at)
+		at = now + WAIT_POLL_PERIOD;
 	loop_cancel(x->e->loop, x->timer);
 	x->timer = NULL;
-	for (int i = 0; i < TRIES; i++) {
+	for (int i = 0; i < MAX_UPSTREAMS; i++) {
 		apr_time_t next;
 
-		if (!x->tries[i].active)
+		if (!x->upstreams[i].active)
 			continue;
-		next = upstream_look(&x->tries[i], now);
+		next = upstream_check_age(&x->upstreams[i], now);
 		if (x->done)
 			return;
 		if (next < at)
@@ -271,20 +308,26 @@
 	}
 	if (x->timer)
 		return;
-	x->timer = loop_after(x->e->loop, at > now ? at - now : 0, look, x);
+	x->timer = loop_after(x->e->loop, at > now ? at - now : 0, on_timer, x);
 }
 
-/* Nothing was run at the target: another, while there is time. */
+/*
+ * After a refusal or a failure to connect, nothing has run: tries another
+ * target while there is time.
+ */
 static void after_refusal(struct exchange *x, enum upstream_end how)
 {
-	const char *why = upstream_end_word(how);
+	const char *why = upstream_end_name(how);
 
 	x->runs--;
 	if (exchange_any_active(x))
 		return;
-	/* What never reached a target is no repeat for the fleet's bound. */
+	/*
+	 * The fleet's bound does not count requests that never reached a
+	 * target.
+	 */
 	if (how == UPSTREAM_UNREACHED ||
-	    (tr_mechanism_on(TR_MECH_REPEAT_REFUSED) && may_repeat(x))) {
+	    (tr_mechanism_enabled(TR_MECH_REPEAT_REFUSED) && may_repeat(x))) {
 		why = exchange_send(x);
 		if (!why)
 			return;
@@ -292,10 +335,14 @@
 	exchange_give_up(x, why);
 }
 
+/*
+ * After a failure that may have run: retries if the route allows it, otherwise
+ * replies once no attempt is left.
+ */
 static void after_failure(struct exchange *x, struct upstream *u,
 			  enum upstream_end how)
 {
-	int status = u->answer.parser.status_code;
+	int status = u->response.parser.status_code;
 
 	x->maybe_ran = true;
 	if (x->route->kind == TR_KIND_SAFE && x->runs < x->route->attempts &&
@@ -306,26 +353,27 @@
 	}
 	if (exchange_any_active(x))
 		return;
-	if (how == UPSTREAM_FAILED && !exchange_promises_not_run(status))
-		exchange_deliver(x, u);
+	if (how == UPSTREAM_FAILED && !exchange_status_means_not_run(status))
+		exchange_forward_reply(x, u);
 	else
-		exchange_give_up(x, upstream_end_word(how));
+		exchange_give_up(x, upstream_end_name(how));
 }
 
 static void upstream_done(void *ctx, struct upstream *u, enum upstream_end how)
 {
 	struct exchange *x = ctx;
 
-	x->begun_again += u->begun_again;
+	x->reconnected += u->reconnected;
 	if (x->done)
 		return;
-	exchange_fatal_saw(x, u, how);
+	exchange_fatal_observe(x, u, how);
 	switch (how) {
 	case UPSTREAM_ANSWERED:
-		if (exchange_promises_not_run(u->answer.parser.status_code))
+		if (exchange_status_means_not_run(
+			    u->response.parser.status_code))
 			after_failure(x, u, how);
 		else
-			exchange_deliver(x, u);
+			exchange_forward_reply(x, u);
 		break;
 	case UPSTREAM_REFUSED:
 	case UPSTREAM_UNREACHED:
@@ -338,21 +386,21 @@
 }
 
 /*
- * Answer all that still run, because the process ends now. A connection that is
- * closed without a word tells its caller neither that the request may have run
- * nor that it has not; one would notice by callers that lose requests whenever
- * a VM is stopped while targets hang.
+ * Replies to all unfinished requests because the process is about to exit. A
+ * connection that is closed without a reply does not tell the caller whether
+ * the request may have run: callers would lose requests whenever a VM is
+ * stopped while targets hang.
  */
-void exchange_answer_rest(struct entry *e)
+void exchange_reply_all(struct entry *e)
 {
 	for (struct exchange *x = e->exchanges; x; x = x->next)
 		if (!x->done)
-			exchange_answer_own(x, may_have_run(x) ? 504 : 503,
-					    "vm-ends");
+			exchange_reply_local(x, may_have_run(x) ? 504 : 503,
+					     "vm-ends");
 }
 
-/* Free all that run; for the end of the process. */
-void exchange_end_all(struct entry *e)
+/* Frees all exchanges at the end of the process. */
+void exchange_free_all(struct entry *e)
 {
 	while (e->exchanges)
 		exchange_free(e->exchanges);
--- a/entry/exchange_identify.c
+++ b/entry/exchange_identify.c
@@ -1,4 +1,4 @@
-/* Whose request it is, and whether that may send one now. */
+/* Authentication of requests by API key, and the limits of organisations. */
 #include <inttypes.h>
 
 #include "eventlog.h"
@@ -6,11 +6,13 @@
 #include "mesh.h"
 #include "organisation.h"
 
-/* When a caller whose key can't be judged here should come back: to another VM,
- * which it finds by its next connection. */
-#define UNPROVEN_RETURN TR_MSEC(300)
+/*
+ * Retry-After for a key that cannot be checked here: the caller's next
+ * connection leads to another VM.
+ */
+#define UNPROVEN_RETRY_AFTER TR_MSEC(300)
 
-/* Lines name organisations and never keys. */
+/* Logs a refusal. Log lines name organisations and never keys. */
 static void log_refused(const struct entry *e, const struct caller *caller,
 			int status, const char *why, const char *organisation)
 {
@@ -20,32 +22,35 @@
 		 why, organisation, e->routes->version);
 }
 
-/* Count the request with its organisation, once. */
-void exchange_count(struct entry *e, struct caller *caller)
+/* Counts the request against its organisation's limit, once. */
+void exchange_count_request(struct entry *e, struct caller *caller)
 {
 	const struct tr_organisation *o;
 
-	if (caller->counted || !e->routes || !e->routes->organisations)
+	if (caller->counted_in_limit || !e->routes || !e->routes->organisations)
 		return;
 	o = tr_organisations_find(
 		e->routes->organisations,
 		message_header(&caller->in, e->dialect->api_key));
 	if (!o)
 		return;
-	caller->counted = true;
-	tr_limit_came(&e->limits.rows[o->known_as], &e->limit_bound,
-		      entry_now(e));
-	mesh_tell_soon(e->mesh);
+	caller->counted_in_limit = true;
+	tr_limit_arrived(&e->limits.rows[o->row_index], &e->limit_bound,
+			 entry_now(e));
+	mesh_schedule_report(e->mesh);
 }
 
-/* Has the organisation anything left of its limit? */
+/*
+ * Returns whether the organisation is within its limit; refuses the request if
+ * not.
+ */
 static bool is_within_limit(struct entry *e, struct caller *caller,
 			    const struct tr_organisation *organisation)
 {
-	struct tr_limit *l = &e->limits.rows[organisation->known_as];
+	struct tr_limit *l = &e->limits.rows[organisation->row_index];
 	apr_time_t now = entry_now(e);
 	const struct tr_limit_fleet heard = {
-		.share = tr_membership_heard_lately(&e->members, now),
+		.share = tr_membership_recent_share(&e->members, now),
 		.groups = e->members.groups_count,
 	};
 
@@ -57,21 +62,21 @@
 		 "burst=%g group_rate=%.1f part=%.3f heard=%.3f used=%.1f",
 		 message_header(&caller->in, e->dialect->request_id),
 		 organisation->name, l->rate, l->burst, tr_limit_demand(l, now),
-		 tr_limit_part(l, now), heard.share, tr_limit_used(l));
+		 tr_limit_group_share(l, now), heard.share, tr_limit_used(l));
 	exchange_refuse(caller, 429,
-			tr_limit_return_after(l, &e->limit_bound, &e->random));
+			tr_limit_retry_after(l, &e->limit_bound, &e->random));
 	return false;
 }
 
 /*
- * The organisation whose key the request bears, if it must bear one or does.
- * False when the caller was refused. A key that is not known here may stand in
- * a newer configuration; 401 is final for callers, so it is said only by a VM
- * that knows of none.
+ * Finds the organisation by the key of the request, and checks its limit.
+ * Returns false if the request was refused. A key that is unknown here may be
+ * in a newer configuration. Since 401 is final for callers, it is sent only by
+ * a VM that knows of no newer one.
  */
-bool exchange_identify(struct entry *e, struct caller *caller,
-		       const struct tr_path_route *route,
-		       const struct tr_organisation **organisation)
+bool exchange_authenticate(struct entry *e, struct caller *caller,
+			   const struct tr_path_route *route,
+			   const struct tr_organisation **organisation)
 {
 	const struct tr_organisations *all = e->routes->organisations;
 	const char *name = e->dialect->api_key;
@@ -85,15 +90,16 @@
 	}
 	*organisation =
 		tr_organisations_find(all, message_header(&caller->in, name));
-	if (route->open)
+	if (route->is_public)
 		return true;
-	if (!entry_vouches(e) || (!*organisation && exchange_is_late(e))) {
+	if (!entry_may_use_keys(e) ||
+	    (!*organisation && exchange_routes_outdated(e))) {
 		e->counts.unproven++;
 		log_refused(e, caller, 503, "unproven", "-");
-		exchange_refuse(caller, 503, UNPROVEN_RETURN);
+		exchange_refuse(caller, 503, UNPROVEN_RETRY_AFTER);
 		return false;
 	}
-	exchange_count(e, caller);
+	exchange_count_request(e, caller);
 	if (*organisation)
 		return is_within_limit(e, caller, *organisation);
 	e->counts.keys_refused++;
--- a/entry/mesh_take.c
+++ b/entry/mesh_take.c
@@ -1,8 +1,8 @@
-/* What is done with another VM's message. */
+/* Handling of messages from other VMs. */
 #include "mesh_internal.h"
 
-static void take_list(struct mesh *mesh, struct tr_node *node,
-		      const struct mesh_message *msg, apr_time_t now)
+static void check_list(struct mesh *mesh, struct tr_node *node,
+		       const struct mesh_message *msg, apr_time_t now)
 {
 	const struct tr_list_report reported = {
 		.as_of = msg->as_of,
@@ -10,24 +10,26 @@
 		.age = TR_MSEC(msg->age_ms),
 	};
 
-	if (tr_list_check_reported(&mesh->list_check, &mesh->e->roster,
-				   &reported, &mesh->e->random, now))
+	if (tr_list_check_compare(&mesh->list_check, &mesh->e->roster,
+				  &reported, &mesh->e->random, now))
 		pull_targets(&mesh->pull, node->ip);
 }
 
-/* What the parts of a message are taken in by, in this order: with the VMs that
- * it names the sender's row may move, so what follows must not look at it. */
-static mesh_take_fn *const takers[] = {
-	mesh_take_changes, mesh_take_rows,    mesh_take_fatals,
-	mesh_take_limits,  mesh_take_notices, mesh_take_proof,
-	take_list,	   mesh_take_nodes,   mesh_take_summary,
+/* Handlers of the parts of a message, in the order in which they are called.
+ * mesh_handle_nodes may move the sender's row, so the handlers after it must
+ * not use node. */
+static mesh_handler_fn *const handlers[] = {
+	mesh_handle_changes, mesh_handle_rows,	  mesh_handle_fatals,
+	mesh_handle_limits,  mesh_handle_notices, mesh_handle_proof,
+	check_list,	     mesh_handle_nodes,	  mesh_handle_summary,
 };
 
-/* Take in a message of the VM at the address. */
-void mesh_take(struct mesh *mesh, const struct mesh_message *msg, uint32_t ip)
+/* Handles a message of the VM with the address. */
+void mesh_handle_message(struct mesh *mesh, const struct mesh_message *msg,
+			 uint32_t ip)
 {
 	struct entry *e = mesh->e;
-	struct tr_node_news news = {
+	struct tr_node_status news = {
 		.ip = ip,
 		.boot = msg->boot,
 		.sequence = msg->sequence,
@@ -46,14 +48,14 @@
 	bool restarted;
 
 	e->counts.messages_in++;
-	node = tr_membership_heard(&e->members, &news, now, &restarted);
+	node = tr_membership_receive(&e->members, &news, now, &restarted);
 	if (!node)
 		return;
 	if (restarted) {
 		mesh_forget_node(mesh, node, now);
-		if (!(msg->flags & MESH_ANSWER))
-			mesh_call_one(mesh, ip, true);
+		if (!(msg->flags & MESH_REPLY))
+			mesh_contact_node(mesh, ip, true);
 	}
-	for (size_t i = 0; i < sizeof(takers) / sizeof(*takers); i++)
-		takers[i](mesh, node, msg, now);
+	for (size_t i = 0; i < sizeof(handlers) / sizeof(*handlers); i++)
+		handlers[i](mesh, node, msg, now);
 }
--- a/entry/pack.h
+++ b/entry/pack.h
@@ -1,9 +1,11 @@
+/* Compression of data that VMs fetch from each other. */
 #ifndef PACK_H
 #define PACK_H
 
 #include <glib.h>
 
-GBytes *pack_bytes(const char *text, size_t len);
-char *pack_open(const void *packed, size_t len, size_t most, size_t *text_len);
+GBytes *pack_compress(const char *text, size_t len);
+char *pack_decompress(const void *packed, size_t len, size_t max,
+		      size_t *text_len);
 
 #endif
--- a/lib/event.c
+++ b/lib/event.c
@@ -1,13 +1,17 @@
+/* The ring of events. */
 #include "event.h"
 
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdio.h>
 
-/* Put an event at the ring's end; the oldest gives way. wall is in us. */
-void tr_event_put(struct tr_event_ring *ring, uint64_t wall,
-		  enum tr_event_kind kind, const char *service,
-		  const char *subject, const char *detail, ...)
+/*
+ * Appends an event, overwriting the oldest if the ring is full. wall is the
+ * wall clock in us; service and subject may be NULL.
+ */
+void tr_event_append(struct tr_event_ring *ring, uint64_t wall,
+		     enum tr_event_kind kind, const char *service,
+		     const char *subject, const char *detail, ...)
 {
 	struct tr_event *ev = &ring->events[ring->count % TR_EVENT_RING];
 	va_list ap;
@@ -24,13 +28,13 @@
 	ring->count++;
 }
 
-/* The number of the oldest event still kept. */
+/* Returns the number of the oldest event that is kept. */
 uint64_t tr_event_first(const struct tr_event_ring *ring)
 {
 	return ring->count > TR_EVENT_RING ? ring->count - TR_EVENT_RING : 0;
 }
 
-/* An event by its number, or NULL when it is not kept. */
+/* Returns an event by its number, or NULL if it is not kept. */
 const struct tr_event *tr_event_get(const struct tr_event_ring *ring,
 				    uint64_t number)
 {
@@ -39,13 +43,14 @@
 	return &ring->events[number % TR_EVENT_RING];
 }
 
-const char *tr_event_word(enum tr_event_kind kind)
+/* Returns the event kind's name in the output, such as "peer-up". */
+const char *tr_event_name(enum tr_event_kind kind)
 {
-	static const char *const words[] = {
-#define TR_EVENT_WORD(name, word) word,
-		TR_EVENTS(TR_EVENT_WORD)
-#undef TR_EVENT_WORD
+	static const char *const names[] = {
+#define TR_EVENT_NAME(name, text) text,
+		TR_EVENTS(TR_EVENT_NAME)
+#undef TR_EVENT_NAME
 	};
 
-	return words[kind];
+	return names[kind];
 }
--- a/lib/event.h
+++ b/lib/event.h
@@ -1,3 +1,4 @@
+/* The event log of a VM: a ring of its latest events, shown as a time line. */
 #ifndef TR_EVENT_H
 #define TR_EVENT_H
 
@@ -7,7 +8,7 @@
 
 #define TR_EVENT_RING 2048
 
-/* Columns: name, word. */
+/* Columns: enum name, name in the output. */
 #define TR_EVENTS(X)                            \
 	X(START, "start")                       \
 	X(STOP, "stop")                         \
@@ -34,11 +35,12 @@
 	X(FAULT, "fault-injected")
 
 enum tr_event_kind {
-#define TR_EVENT_ENUM(name, word) TR_EVENT_##name,
+#define TR_EVENT_ENUM(name, text) TR_EVENT_##name,
 	TR_EVENTS(TR_EVENT_ENUM)
 #undef TR_EVENT_ENUM
 };
 
+/* One event, with the time of a hybrid logical clock. */
 struct tr_event {
 	struct tr_hlc when;
 	enum tr_event_kind kind;
@@ -47,20 +49,20 @@
 	char detail[96];
 };
 
-/* A ring: the newest TR_EVENT_RING events, and a count of all ever put. */
+/* The newest TR_EVENT_RING events, and the number of events ever appended. */
 struct tr_event_ring {
 	struct tr_hlc clock;
 	uint64_t count;
 	struct tr_event events[TR_EVENT_RING];
 };
 
-void tr_event_put(struct tr_event_ring *ring, uint64_t wall,
-		  enum tr_event_kind kind, const char *service,
-		  const char *subject, const char *detail, ...)
+void tr_event_append(struct tr_event_ring *ring, uint64_t wall,
+		     enum tr_event_kind kind, const char *service,
+		     const char *subject, const char *detail, ...)
 	__attribute__((format(printf, 6, 7)));
 const struct tr_event *tr_event_get(const struct tr_event_ring *ring,
 				    uint64_t number);
 uint64_t tr_event_first(const struct tr_event_ring *ring);
-const char *tr_event_word(enum tr_event_kind kind);
+const char *tr_event_name(enum tr_event_kind kind);
 
 #endif
--- a/lib/gossip.c
+++ b/lib/gossip.c
@@ -1,3 +1,4 @@
+/* Building, scheduling and receiving gossip messages. */
 #include "gossip.h"
 
 #include <string.h>
@@ -9,7 +10,7 @@
 static bool is_urgent(const struct tr_service *svc,
 		      const struct tr_target *target, apr_time_t now)
 {
-	return target->avoided || tr_target_raised(svc, target, now) ||
+	return target->avoided || tr_target_is_suspect(svc, target, now) ||
 	       target->grant.kind != TR_ORDER_NONE ||
 	       target->order.kind != TR_ORDER_NONE;
 }
@@ -25,8 +26,8 @@
 }
 
 /*
- * Rows are those of targets under suspicion, and up to a third of the others
- * from a random one on, which keeps the bytes low.
+ * Adds the rows of suspect targets, and of up to a third of the others from a
+ * random one on, to keep messages short.
  */
 static void add_rows(const struct tr_service *svc, uint32_t start,
 		     struct tr_gossip *msg, apr_time_t now)
@@ -59,11 +60,11 @@
 		order->target = target->id;
 		order->kind = target->grant.kind;
 		order->vantages = target->grant.vantages;
-		target->grant.promised_until = now + TR_ORDER_TTL;
+		target->grant.lease_until = now + TR_ORDER_TTL;
 	}
 }
 
-/* Write what the peer should hear of the service now. */
+/* Builds the message that the peer should get about the service now. */
 void tr_gossip_build(struct tr_board *board, struct tr_service *svc,
 		     struct tr_peer *peer, uint64_t sequence,
 		     struct tr_gossip *msg)
@@ -77,7 +78,7 @@
 	msg->boot = board->boot;
 	msg->sequence = sequence;
 	msg->sent_at = now;
-	msg->echo = peer->their_sent_at;
+	msg->echo = peer->peer_sent_at;
 	if (board->events)
 		msg->hlc = tr_hlc_tick(&board->events->clock,
 				       board->wall(board->wall_ctx));
@@ -98,22 +99,23 @@
 		msg->flags |= TR_GOSSIP_OWNER;
 		add_orders(svc, msg, now);
 	}
-	peer->sent_to_at = now;
+	peer->last_sent_at = now;
 }
 
-static void take_rows(struct tr_service *svc, const struct tr_peer *peer,
-		      const struct tr_gossip *msg, apr_time_t now)
+static void receive_rows(struct tr_service *svc, const struct tr_peer *peer,
+			 const struct tr_gossip *msg, apr_time_t now)
 {
 	unsigned source = tr_member_source(svc, peer);
 
 	for (uint32_t i = 0; i < msg->rows_count; i++) {
 		const struct tr_gossip_row *row = &msg->rows[i];
 		struct tr_target *target = tr_service_target(svc, row->target);
-		struct tr_counts total = { row->well, row->bad, row->bad_run };
-		struct tr_batch batch = { .vantage = peer->vantage };
+		struct tr_outcome_totals total = { row->well, row->bad,
+						   row->bad_run };
+		struct tr_outcome_batch batch = { .vantage = peer->vantage };
 
-		if (!target || !tr_evidence_heard(&target->evidence, source,
-						  total, &batch))
+		if (!target || !tr_evidence_diff_totals(&target->evidence,
+							source, total, &batch))
 			continue;
 		if (peer->suspects_itself)
 			continue;
@@ -122,11 +124,12 @@
 }
 
 /*
- * Take in a message of a peer. TR_OK; TR_NO_SERVICE when this VM does not
- * serve the service or the sender is not of its cell; TR_STALE_DATAGRAM.
+ * Applies a message of a peer. Returns TR_OK, TR_NO_SERVICE if it is for
+ * another VM, this VM does not serve the service or the sender is not in its
+ * cell, or TR_STALE_DATAGRAM if it is old.
  */
-enum tr_result tr_gossip_take(struct tr_board *board,
-			      const struct tr_gossip *msg)
+enum tr_result tr_gossip_receive(struct tr_board *board,
+				 const struct tr_gossip *msg)
 {
 	struct tr_service *svc = tr_board_service(board, msg->service);
 	apr_time_t now = tr_clock_now(&board->clock);
@@ -138,32 +141,34 @@
 	peer = tr_member_find(svc, msg->from);
 	if (!peer)
 		return TR_NO_SERVICE;
-	res = tr_member_heard(board, svc, peer, msg, now);
+	res = tr_member_receive(board, svc, peer, msg, now);
 	if (res != TR_OK)
 		return res;
 	if (board->events)
 		tr_hlc_merge(&board->events->clock, msg->hlc,
 			     board->wall(board->wall_ctx));
-	take_rows(svc, peer, msg, now);
-	tr_permit_voted(svc, peer, msg->flags & TR_GOSSIP_VOTES_FOR_YOU, now);
-	tr_permit_take(board, svc, peer, msg, now);
+	receive_rows(svc, peer, msg, now);
+	tr_permit_receive_vote(svc, peer, msg->flags & TR_GOSSIP_VOTES_FOR_YOU,
+			       now);
+	tr_permit_receive_orders(board, svc, peer, msg, now);
 	return TR_OK;
 }
 
 /*
- * Is it time to send to the peer? While something is wrong a message goes out
- * twice a second, at once when a target begins to fail, else every
- * TR_TICK_CALM: detection is quick when it matters and the bytes stay low when
- * it does not. within_budget: with it overdrawn only the calm period holds.
+ * Returns whether it is time to send to the peer. The period is short while
+ * targets are suspect, shortest when one has just begun to fail, and
+ * TR_GOSSIP_PERIOD_IDLE otherwise: faults are detected fast and traffic stays
+ * low without any. within_budget: if false, the idle period applies.
  */
 bool tr_gossip_due(const struct tr_service *svc, const struct tr_peer *peer,
 		   bool within_budget, apr_time_t now)
 {
-	apr_time_t tick = svc->raised ? TR_TICK_BUSY : TR_TICK_CALM;
+	apr_time_t period = svc->has_suspects ? TR_GOSSIP_PERIOD_ALERT
+					      : TR_GOSSIP_PERIOD_IDLE;
 
-	if (svc->urgent_at > peer->sent_to_at)
-		tick = TR_TICK_URGENT;
+	if (svc->last_urgent_at > peer->last_sent_at)
+		period = TR_GOSSIP_PERIOD_URGENT;
 	if (!within_budget)
-		tick = TR_TICK_CALM;
-	return now - peer->sent_to_at >= tick;
+		period = TR_GOSSIP_PERIOD_IDLE;
+	return now - peer->last_sent_at >= period;
 }
--- a/lib/membership.h
+++ b/lib/membership.h
@@ -1,3 +1,7 @@
+/*
+ * Membership of the fleet of entry VMs, learned from their messages, and what
+ * each VM last reported.
+ */
 #ifndef TR_MEMBERSHIP_H
 #define TR_MEMBERSHIP_H
 
@@ -15,86 +19,86 @@
 #define TR_SEEDS_MAX	 8
 #define TR_NO_GROUP	 UINT16_MAX
 
-/* What a VM may hold that others fetch from it. */
-enum tr_holding {
-	TR_HOLDS_ROUTES,
-	TR_HOLDS_LIST,
-	TR_HOLDINGS,
+/* Data that a VM may hold and that others fetch from it. */
+enum tr_resource {
+	TR_RESOURCE_ROUTES,
+	TR_RESOURCE_LIST,
+	TR_RESOURCES,
 };
 
-/* What a VM last told of one target: its outcomes and what it has there. */
+/* What a VM last reported about one target: outcomes and requests in flight. */
 struct tr_report {
 	uint32_t target;
 	struct tr_symptom_totals totals;
 	uint16_t in_flight;
 };
 
-/* How many requests a VM last told that it had sent to a target with a limit.
+/*
+ * How many requests a VM last reported to have sent to a rate-limited target.
  */
 struct tr_sent_report {
 	uint32_t target;
 	uint16_t sent;
 };
 
-/* What a VM last told of the requests for one service, and when; purse: the
- * repeats that it may have saved up since. */
+/*
+ * What a VM last reported about the requests for one service, and when. bucket:
+ * the repeats that it may have saved up since.
+ */
 struct tr_work_report {
 	uint32_t service;
 	struct tr_work_totals totals;
-	struct tr_repeat_purse purse;
+	struct tr_repeat_bucket bucket;
 	apr_time_t at;
 };
 
-/* What a VM last told of the requests of one organisation. */
+/* What a VM last reported about the requests of one organisation. */
 struct tr_limit_report {
 	uint32_t name;
 	struct tr_limit_totals totals;
 };
 
-/*
- * An entry VM, by its address. boot is drawn anew at each start. near: it is of
- * this VM's group. here: of its data centre. held: the revision of the routes
- * that it has in force, and 1 where it has a list of targets. gap: the usual
- * time between two of its messages. proven_at: until when its configuration is
- * proven, as it said in passing. reports_work: it may have requests in flight.
- */
+/* An entry VM, identified by its address. */
 struct tr_node {
 	uint32_t ip;
 	uint16_t group;
-	bool near;
-	bool here;
-	uint64_t boot;
+	bool near;     /* in this VM's group */
+	bool here;     /* in this VM's data centre */
+	uint64_t boot; /* random, new at every start */
 	uint64_t retired[TR_RETIRED_BOOTS];
 	unsigned retired_next;
 	uint64_t sequence;
 	uint64_t first_sequence;
-	apr_time_t heard_since;
+	apr_time_t boot_heard_at;
 	char data_centre[TR_ID_MAX + 1];
 	apr_time_t heard_at;
-	apr_time_t gap;
-	apr_time_t called_at;
+	apr_time_t gap; /* mean time between two of its messages */
+	apr_time_t probed_at;
 	bool seed;
 	bool ready;
 	bool leaving;
-	bool cannot_read;
-	uint64_t held[TR_HOLDINGS];
-	apr_time_t proven_at;
-	bool reports_work;
+	bool cannot_read; /* its last read of the store failed */
+	/* Revision of the routes in force; 1 if it has a list of targets. */
+	uint64_t held[TR_RESOURCES];
+	apr_time_t proven_at; /* its configuration was current then */
+	bool reports_work;    /* it may have requests in flight */
 	struct tr_report *reported;
 	unsigned reported_count;
-	unsigned reported_room;
+	unsigned reported_capacity;
 	struct tr_work_report *work;
 	unsigned work_count;
 	struct tr_limit_report *limits;
 	unsigned limits_count;
-	unsigned limits_room;
+	unsigned limits_capacity;
 	struct tr_sent_report *sent;
 	unsigned sent_count;
 };
 
-/* What one message says of its sender; requests and targets come apart. A
- * proof_age below 0: there is no proof. */
-struct tr_node_news {
+/*
+ * The state of the sender in one message; reports about requests and targets
+ * are passed separately.
+ */
+struct tr_node_status {
 	uint32_t ip;
 	uint64_t boot;
 	uint64_t sequence;
@@ -102,12 +106,15 @@
 	bool ready;
 	bool leaving;
 	bool cannot_read;
-	uint64_t held[TR_HOLDINGS];
+	uint64_t held[TR_RESOURCES];
 	unsigned fleet_size;
-	apr_time_t proof_age;
+	apr_time_t proof_age; /* below 0: no proof */
 };
 
-/* VMs of one data centre that tell each other all they see; see group.c. */
+/*
+ * VMs of one data centre that report everything they see to each other; see
+ * group.c.
+ */
 struct tr_group {
 	char data_centre[TR_ID_MAX + 1];
 	unsigned part;
@@ -117,57 +124,56 @@
 	unsigned alive_before;
 };
 
-/*
- * All VMs ever heard of; row 0 is this one. size_reported is the largest size
- * of the fleet that any VM told. generation changes with the groups and with
- * which of them have VMs that live.
- */
+/* Every VM ever heard of; row 0 is this one. */
 struct tr_membership {
 	struct tr_node *nodes;
 	unsigned count;
-	unsigned room;
+	unsigned capacity;
 	struct tr_index by_ip;
 	struct tr_group *groups;
 	unsigned groups_count;
 	unsigned near_count;
-	unsigned size_reported;
+	unsigned size_reported; /* largest fleet size that any VM reported */
 	bool heard_any;
-	uint32_t generation;
-	apr_time_t counted_at;
+	uint32_t generation; /* changes with the groups and which are alive */
+	apr_time_t alive_counted_at;
 };
 
 int tr_membership_init(struct tr_membership *m, uint32_t ip, uint64_t boot,
 		       const char *data_centre);
 void tr_membership_release(struct tr_membership *m);
-struct tr_node *tr_membership_learn(struct tr_membership *m, uint32_t ip);
-struct tr_node *tr_membership_learn_at(struct tr_membership *m, uint32_t ip,
-				       const char *data_centre);
-void tr_membership_vouched(struct tr_membership *m,
-			   const struct tr_node_news *news, apr_time_t now);
+struct tr_node *tr_membership_find_or_add(struct tr_membership *m, uint32_t ip);
+struct tr_node *tr_membership_find_or_add_at(struct tr_membership *m,
+					     uint32_t ip,
+					     const char *data_centre);
+void tr_membership_receive_indirect(struct tr_membership *m,
+				    const struct tr_node_status *status,
+				    apr_time_t now);
 unsigned tr_membership_size(const struct tr_membership *m);
 struct tr_report *tr_node_report(struct tr_node *node, uint32_t target);
 struct tr_sent_report *tr_node_sent_report(struct tr_node *node,
 					   uint32_t target);
 struct tr_limit_report *tr_node_limit_report(struct tr_node *node,
 					     uint32_t name);
-struct tr_node *tr_membership_heard(struct tr_membership *m,
-				    const struct tr_node_news *news,
-				    apr_time_t now, bool *restarted);
+struct tr_node *tr_membership_receive(struct tr_membership *m,
+				      const struct tr_node_status *status,
+				      apr_time_t now, bool *restarted);
 apr_time_t tr_membership_period(const struct tr_membership *m, apr_time_t now);
 bool tr_node_alive(const struct tr_membership *m, const struct tr_node *node,
 		   apr_time_t now);
-bool tr_node_heard_lately(const struct tr_membership *m,
-			  const struct tr_node *node, apr_time_t now);
+bool tr_node_heard_recently(const struct tr_membership *m,
+			    const struct tr_node *node, apr_time_t now);
 bool tr_node_heard_from_start(const struct tr_node *node, apr_time_t now);
 bool tr_node_takes_callers(const struct tr_membership *m,
 			   const struct tr_node *node, apr_time_t now);
-struct tr_node *tr_membership_lost(struct tr_membership *m, apr_time_t now);
+struct tr_node *tr_membership_next_lost(struct tr_membership *m,
+					apr_time_t now);
 unsigned tr_membership_alive(const struct tr_membership *m, apr_time_t now);
-double tr_membership_heard_lately(const struct tr_membership *m,
+double tr_membership_recent_share(const struct tr_membership *m,
 				  apr_time_t now);
-unsigned tr_membership_place(const struct tr_membership *m, apr_time_t now,
-			     unsigned *vms);
-unsigned tr_membership_turn(const struct tr_membership *m, apr_time_t now);
-bool tr_membership_reads(const struct tr_membership *m, apr_time_t now);
+unsigned tr_membership_rank(const struct tr_membership *m, apr_time_t now,
+			    unsigned *vms);
+unsigned tr_membership_read_rank(const struct tr_membership *m, apr_time_t now);
+bool tr_membership_is_reader(const struct tr_membership *m, apr_time_t now);
 
 #endif
--- a/lib/pacer.h
+++ b/lib/pacer.h
@@ -4,13 +4,16 @@
 #include <apr_time.h>
 #include <stdbool.h>
 
-/* A token bucket of bytes. All zero is a beginning: full at the first look. */
+/*
+ * A token bucket that limits bytes a second. All zero is a valid start: it is
+ * filled when first used.
+ */
 struct tr_pacer {
-	double spare;
+	double tokens; /* bytes that may be sent now */
 	apr_time_t at;
 };
 
-bool tr_pacer_has(struct tr_pacer *pacer, double rate, apr_time_t now);
-void tr_pacer_spend(struct tr_pacer *pacer, double bytes);
+bool tr_pacer_allows(struct tr_pacer *pacer, double rate, apr_time_t now);
+void tr_pacer_consume(struct tr_pacer *pacer, double bytes);
 
 #endif
--- a/lib/retry.h
+++ b/lib/retry.h
@@ -4,14 +4,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Retries allowed as a share of recent first attempts that went well. */
+/* A retry budget: successful first attempts earn a share of a retry each. */
 struct tr_retry_budget {
 	double tokens;
-	double most;
+	double max_tokens;
 };
 
 void tr_retry_init(struct tr_retry_budget *budget);
-void tr_retry_earn(struct tr_retry_budget *budget, uint32_t percent);
-bool tr_retry_spend(struct tr_retry_budget *budget);
+void tr_retry_deposit(struct tr_retry_budget *budget, uint32_t percent);
+bool tr_retry_withdraw(struct tr_retry_budget *budget);
 
 #endif
--- a/lib/revision.h
+++ b/lib/revision.h
@@ -1,23 +1,29 @@
+/*
+ * The revisions of a published value, so that an older one never replaces a
+ * newer.
+ */
 #ifndef TR_REVISION_H
 #define TR_REVISION_H
 
 #include <stdint.h>
 
-/* What a VM holds of one published value. Revisions are the platform's. */
-struct tr_held {
-	uint64_t revision;
-	uint64_t refused;
+/* Revisions of one published value at a VM; the platform assigns them. */
+struct tr_revision_state {
+	uint64_t revision; /* in force */
+	uint64_t refused;  /* newer, but failed validation; 0 for none */
 };
 
-enum tr_offer {
-	TR_OFFER_NEWS,
-	TR_OFFER_SAME,
-	TR_OFFER_OLD,
-	TR_OFFER_REFUSED_BEFORE,
+/* How an offered revision compares with the one in force. */
+enum tr_revision_order {
+	TR_REVISION_NEWER,
+	TR_REVISION_CURRENT,
+	TR_REVISION_OLDER,
+	TR_REVISION_REFUSED,
 };
 
-enum tr_offer tr_held_offer(const struct tr_held *held, uint64_t revision);
-void tr_held_accept(struct tr_held *held, uint64_t revision);
-void tr_held_refuse(struct tr_held *held, uint64_t revision);
+enum tr_revision_order tr_revision_compare(const struct tr_revision_state *held,
+					   uint64_t revision);
+void tr_revision_accept(struct tr_revision_state *held, uint64_t revision);
+void tr_revision_refuse(struct tr_revision_state *held, uint64_t revision);
 
 #endif
--- a/lib/service.h
+++ b/lib/service.h
@@ -1,10 +1,12 @@
+/* Applying a service's configuration, choosing targets and counting attempts.
+ */
 #ifndef TR_SERVICE_H
 #define TR_SERVICE_H
 
 #include "board.h"
 #include "detector.h"
 
-/* One row of the published list of targets. */
+/* One target of the published list. */
 struct tr_target_entry {
 	char name[TR_NAME_MAX + 1];
 	char address[46];
@@ -12,20 +14,21 @@
 	bool leaving;
 };
 
+/* How tr_service_pick() chose a target, or why it found none. */
 enum tr_pick_kind {
 	TR_PICK_NORMAL,
-	TR_PICK_TRICKLE,
-	TR_PICK_BUSY,
-	TR_PICK_NOTHING,
+	TR_PICK_PROBE, /* a suspect target that is due for a request */
+	TR_PICK_BUSY,  /* all slots are taken */
+	TR_PICK_NONE,  /* no target may be used */
 };
 
-/* Targets that a request has been to; it does not go there again. */
+/* Targets that a request has already tried and is not sent to again. */
 struct tr_tried {
 	uint32_t ids[8];
 	unsigned count;
 };
 
-/* How one attempt at a target ended, as the adapter saw it. */
+/* How one attempt at a target ended, as the HTTP proxy saw it. */
 enum tr_attempt_end {
 	TR_ATTEMPT_ANSWERED,
 	TR_ATTEMPT_FAILED_STATUS,
@@ -59,13 +62,16 @@
 		    struct tr_target *target, unsigned route,
 		    enum tr_attempt_end how, apr_time_t began, bool counted,
 		    apr_time_t now);
-apr_time_t tr_service_slow_after(const struct tr_service *svc, unsigned route);
-apr_time_t tr_service_usual(const struct tr_service *svc, unsigned route);
-void tr_target_says_leaving(struct tr_board *board, struct tr_service *svc,
-			    struct tr_target *target);
-bool tr_target_raised(const struct tr_service *svc,
-		      const struct tr_target *target, apr_time_t now);
-void tr_target_reports(struct tr_target *target, uint32_t load, apr_time_t now);
+apr_time_t tr_service_slow_threshold(const struct tr_service *svc,
+				     unsigned route);
+apr_time_t tr_service_median_latency(const struct tr_service *svc,
+				     unsigned route);
+void tr_target_announce_leaving(struct tr_board *board, struct tr_service *svc,
+				struct tr_target *target);
+bool tr_target_is_suspect(const struct tr_service *svc,
+			  const struct tr_target *target, apr_time_t now);
+void tr_target_set_reported_load(struct tr_target *target, uint32_t load,
+				 apr_time_t now);
 enum tr_result tr_attempt_result(enum tr_attempt_end how);
 
 #endif
--- a/src/client.h
+++ b/src/client.h
@@ -1,3 +1,7 @@
+/*
+ * HTTP client on the event loop, by libcurl: whole fetches into memory, and
+ * easy handles for the proxy, which streams.
+ */
 #ifndef CLIENT_H
 #define CLIENT_H
 
@@ -11,17 +15,16 @@
 struct client;
 struct fetch;
 
-/* The answer to a fetch. status 0: none, and curl says why. */
-struct fetch_answer {
-	long status;
+struct fetch_response {
+	long status; /* 0: no response, for the reason in curl */
 	CURLcode curl;
-	const char *body;
+	const char *body; /* NUL-terminated */
 	size_t len;
-	uint64_t index;
-	const char *mac;
+	uint64_t index;	 /* X-Consul-Index, or 0 */
+	const char *mac; /* Toucanreel-Mac in hex, or "" */
 };
 
-typedef void (*fetch_fn)(void *ctx, const struct fetch_answer *answer);
+typedef void (*fetch_fn)(void *ctx, const struct fetch_response *answer);
 typedef void (*client_done_fn)(void *owner, CURLcode code);
 
 struct client *client_new(struct loop *loop, const char *source_ip);
@@ -30,8 +33,8 @@
 			   const char *post, apr_time_t timeout, fetch_fn fn,
 			   void *ctx);
 void client_fetch_cancel(struct client *client, struct fetch *fetch);
-CURL *client_easy(struct client *client, client_done_fn fn, void *owner);
-int client_start(struct client *client, CURL *easy);
-void client_drop(struct client *client, CURL *easy);
+CURL *client_easy_new(struct client *client, client_done_fn fn, void *owner);
+int client_easy_start(struct client *client, CURL *easy);
+void client_easy_release(struct client *client, CURL *easy);
 
 #endif
--- a/tests/gray_test.cc
+++ b/tests/gray_test.cc
@@ -25,11 +25,11 @@
 };
 
 /*
- * Symptom: a target that hangs goes on getting work for the whole timeout.
- * Sequence: it takes requests and never answers. Cause: only ends of requests
- * were evidence; one that runs four times the usual time is as good as failed.
+ * Guards against a target that hangs getting requests for the whole timeout. It
+ * accepts requests and never answers. Only ends of requests were evidence; a
+ * request that runs four times as long as usual has practically failed.
  */
-TEST_F(Gray, ARequestThatHangsAccusesBeforeItEnds)
+TEST_F(Gray, AHungRequestIsEvidenceBeforeItEnds)
 {
 	double before = p();
 
@@ -41,32 +41,33 @@
 	EXPECT_GT(p(), 0.5);
 }
 
-TEST_F(Gray, AnAnswerTakesBackWhatWasSaidWhileItRan)
+TEST_F(Gray, AnAnswerRevertsTheEvidenceOfTheRunningRequest)
 {
 	double before = p();
 
 	add(TR_SYMPTOM_LONG);
-	add(TR_SYMPTOM_LONG_GOOD);
+	add(TR_SYMPTOM_ANSWERED_LONG);
 	EXPECT_LE(p(), before + 0.01);
 	add(TR_SYMPTOM_LONG);
 	add(TR_SYMPTOM_LATE);
-	add(TR_SYMPTOM_LATE_GOOD);
+	add(TR_SYMPTOM_ANSWERED_LATE);
 	EXPECT_LE(p(), before + 0.01);
 }
 
 /*
- * Symptom: most requests go to a few targets and sound ones get none. Cause:
- * what is known to be well was thought much better than what is not known.
+ * Guards against most requests going to a few targets while other healthy ones
+ * get none: targets known to be healthy were rated much better than unknown
+ * ones.
  */
-TEST_F(Gray, GoodOutcomesMakeATargetHardlyBetterThanAnUnknownOne)
+TEST_F(Gray, AnswersMakeATargetHardlyBetterThanAnUnknownOne)
 {
 	double unknown = p();
 
-	add(TR_SYMPTOM_GOOD, 50);
+	add(TR_SYMPTOM_ANSWERED, 50);
 	EXPECT_LT(unknown - p(), 0.035);
 }
 
-TEST_F(Gray, SuspicionEndsByItself)
+TEST_F(Gray, SuspicionDecays)
 {
 	add(TR_SYMPTOM_FAILED, 3);
 	EXPECT_GT(p(), 0.9);
@@ -76,30 +77,30 @@
 	EXPECT_LT(p(), 0.061);
 }
 
-TEST_F(Gray, TheWayBackDoesNotGrowWithTheNumberOfFailures)
+TEST_F(Gray, RecoveryTimeDoesNotGrowWithTheNumberOfFailures)
 {
 	tr_gray few{};
 
 	tr_gray_add(&few, TR_SYMPTOM_FAILED, 4, now);
 	add(TR_SYMPTOM_FAILED, 400);
-	EXPECT_NEAR(gray.odds, few.odds, 0.01);
+	EXPECT_NEAR(gray.log_odds, few.log_odds, 0.01);
 }
 
-TEST_F(Gray, StagesComeOneAfterTheOther)
+TEST_F(Gray, StagesAreInOrder)
 {
-	apr_time_t usual = TR_MSEC(100);
-
-	EXPECT_LT(tr_gray_stage_after(TR_STAGE_USUAL, usual, 0.7),
-		  tr_gray_stage_after(TR_STAGE_LONG, usual, 0.7));
-	EXPECT_LT(tr_gray_stage_after(TR_STAGE_LONG, usual, 0.7),
-		  tr_gray_stage_after(TR_STAGE_LATE, usual, 0.7));
-	EXPECT_LT(tr_gray_stage_after(TR_STAGE_LATE, usual, 0.7),
-		  tr_gray_stage_after(TR_STAGE_OVERDUE, usual, 0.7));
+	apr_time_t mean = TR_MSEC(100);
+
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_NORMAL, mean, 0.7),
+		  tr_gray_stage_start(TR_STAGE_LONG, mean, 0.7));
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LONG, mean, 0.7),
+		  tr_gray_stage_start(TR_STAGE_LATE, mean, 0.7));
+	EXPECT_LT(tr_gray_stage_start(TR_STAGE_LATE, mean, 0.7),
+		  tr_gray_stage_start(TR_STAGE_OVERDUE, mean, 0.7));
 }
 
-/* Guards against a target that most VMs reach being held to be gray because
- * some can't open a connection to it. */
-TEST_F(Gray, LinksThatSomeVmsHaveLostAccuseNobody)
+/* Guards against a target that most VMs can reach counting as gray because some
+ * can't connect to it. */
+TEST_F(Gray, FaultyLinksOfSomeVmsAreNoGrayFailure)
 {
 	tr_random random{ 11 };
 	unsigned suspected = 0;
@@ -108,22 +109,22 @@
 	for (; times < 2000; times++) {
 		now += TR_MSEC(180);
 		add(tr_random_unit(&random) < 0.3
-			    ? tr_gray_unreached_symptom(false)
-			    : TR_SYMPTOM_GOOD);
+			    ? tr_gray_connect_failure_symptom(false)
+			    : TR_SYMPTOM_ANSWERED);
 		suspected += p() >= 0.5;
 	}
 	EXPECT_LE(suspected, times / 50);
 }
 
-/* Guards against going on for long with a target that nobody can reach. */
-TEST_F(Gray, ATargetThatNobodyReachesIsSuspectedAfterAFewAttempts)
+/* Guards against using a target for long that no VM can reach. */
+TEST_F(Gray, AnUnreachableTargetIsSuspectedAfterAFewAttempts)
 {
 	for (int i = 0; i < 20; i++)
-		add(TR_SYMPTOM_GOOD);
+		add(TR_SYMPTOM_ANSWERED);
 	for (int i = 0; i < 6; i++)
-		add(tr_gray_unreached_symptom(false));
+		add(tr_gray_connect_failure_symptom(false));
 	EXPECT_GE(p(), 0.5);
-	add(tr_gray_unreached_symptom(true));
+	add(tr_gray_connect_failure_symptom(true));
 	EXPECT_GE(p(), 0.9);
 }
 
--- a/tests/member_test.cc
+++ b/tests/member_test.cc
@@ -21,11 +21,11 @@
 }
 
 /*
- * Symptom: a VM that nobody hears goes on acting as the owner's voter.
- * Sequence: all messages from VM 3 are lost, those to it arrive.
- * Cause: hearing others is taken for being heard.
+ * Guards against a VM that nobody hears but that goes on as if its votes
+ * counted: all messages from VM 3 are lost, those to it arrive. Happens if
+ * hearing others is taken for being heard.
  */
-TEST(Member, OneWayLossIsNoticedByTheEcho)
+TEST(Member, OneWayLossIsDetectedByTheEcho)
 {
 	FakeCell cell;
 
@@ -37,17 +37,17 @@
 		tr_peer *peer = &cell.vms[3]->svc->peers[p];
 
 		EXPECT_TRUE(peer->up) << "it hears them";
-		EXPECT_FALSE(tr_member_hears_me(peer, cell.clock.now))
+		EXPECT_FALSE(tr_member_hears_us(peer, cell.clock.now))
 			<< "they do not hear it";
 	}
 }
 
 /*
- * Symptom: a replaced VM's evidence and votes flip between two processes.
- * Sequence: a VM is replaced; a datagram of its earlier process arrives late.
- * Cause: whichever boot id came last is believed.
+ * Guards against evidence and votes that alternate between two processes of a
+ * VM: the VM is replaced, and a datagram of its earlier process arrives late.
+ * Happens if the boot id received last is believed.
  */
-TEST(Member, LateDatagramOfAnEarlierProcessIsStale)
+TEST(Member, LateDatagramOfAnEarlierProcessIsIgnored)
 {
 	FakeCell cell;
 	tr_gossip late;
@@ -61,18 +61,17 @@
 	cell.run(TR_SEC(5));
 	tr_peer *peer = tr_member_find(cell.vms[0]->svc, cell.fleet[1].id);
 	ASSERT_EQ(peer->boot.id[0], 99);
-	EXPECT_EQ(tr_gossip_take(cell.vms[0]->board.get(), &late),
+	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &late),
 		  TR_STALE_DATAGRAM);
 	EXPECT_EQ(peer->boot.id[0], 99);
 }
 
 /*
- * Symptom: a VM honours orders longer than its lease.
- * Sequence: somebody copies a datagram meant for one VM to another, whose
- * clock is behind, so that the echo looks recent.
- * Cause: an authentic message does not name its receiver.
+ * Guards against a VM that follows orders beyond their lease: a datagram for
+ * one VM is copied to another, whose clock is behind, so that the echo looks
+ * recent. Happens if an authentic message does not name its receiver.
  */
-TEST(Member, MessageForAnotherVmIsNotTaken)
+TEST(Member, MessageForAnotherVmIsRejected)
 {
 	FakeCell cell;
 	tr_gossip msg;
@@ -81,15 +80,15 @@
 	tr_peer *to = tr_member_find(cell.vms[1]->svc, cell.fleet[0].id);
 	tr_gossip_build(cell.vms[1]->board.get(), cell.vms[1]->svc, to,
 			++cell.vms[1]->sequence, &msg);
-	EXPECT_EQ(tr_gossip_take(cell.vms[2]->board.get(), &msg),
+	EXPECT_EQ(tr_gossip_receive(cell.vms[2]->board.get(), &msg),
 		  TR_NO_SERVICE);
-	EXPECT_EQ(tr_gossip_take(cell.vms[0]->board.get(), &msg), TR_OK);
-	EXPECT_EQ(tr_gossip_take(cell.vms[0]->board.get(), &msg),
+	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &msg), TR_OK);
+	EXPECT_EQ(tr_gossip_receive(cell.vms[0]->board.get(), &msg),
 		  TR_STALE_DATAGRAM)
-		<< "nor twice";
+		<< "the second copy is stale";
 }
 
-TEST(Member, WholeDataCentreGoneLeavesAnOwner)
+TEST(Member, LossOfADataCentreLeavesAnOwner)
 {
 	FakeCell cell;
 
@@ -104,7 +103,7 @@
 	EXPECT_EQ(owners, 1u);
 }
 
-TEST(Member, CalmTickIsSlowAndRaisedTickFast)
+TEST(Member, GossipIsMoreFrequentWhileATargetIsSuspect)
 {
 	FakeCell cell;
 	uint64_t before;
@@ -120,5 +119,5 @@
 	before = cell.vms[0]->sequence;
 	cell.run(TR_SEC(4));
 	EXPECT_LE(cell.vms[0]->sequence - before, 7u * 3u)
-		<< "calm again once the cell has dealt with it";
+		<< "idle again once the target is ejected";
 }
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -31,8 +31,8 @@
 
 	int read(const std::string &text)
 	{
-		return platform_dialect.read_page(text.data(), text.size(),
-						  &page, &err);
+		return platform_dialect.parse_page(text.data(), text.size(),
+						   &page, &err);
 	}
 
 	store_item *item(guint i)
@@ -82,14 +82,14 @@
 			 R"("hasMore":true,"asOf":530})"),
 		  0);
 	EXPECT_EQ(p.page.as_of, 530u);
-	EXPECT_TRUE(p.page.more);
+	EXPECT_TRUE(p.page.has_more);
 	ASSERT_EQ(p.page.items->len, 1u);
 	EXPECT_STREQ(p.item(0)->key, "servers/i-1");
 	EXPECT_EQ(p.item(0)->revision, 9u);
 	EXPECT_EQ(std::string(p.item(0)->value, p.item(0)->value_len), "hello");
 }
 
-TEST(Platform, ReadsWhatHasChanged)
+TEST(Platform, ReadsChanges)
 {
 	Page p;
 
@@ -97,15 +97,14 @@
 			 R"("removed":true}],"asOf":11})"),
 		  0);
 	EXPECT_TRUE(p.item(0)->removed);
-	EXPECT_FALSE(p.page.more);
+	EXPECT_FALSE(p.page.has_more);
 }
 
 /*
- * Symptom: all targets vanish. Sequence: the store answers with half a page, or
- * with something else, and 200. Cause: what could not be read was taken for an
- * empty list.
+ * Guards against losing all targets when the store answers 200 with half a page
+ * or with something else, and what can't be parsed is taken for an empty list.
  */
-TEST(Platform, NonsenseIsAnErrorThatSaysWhatWasExpected)
+TEST(Platform, InvalidPagesAreRejectedWithAReason)
 {
 	const char *const wrong[] = {
 		"",
@@ -135,7 +134,7 @@
 	tr_target_record r;
 	tr_error err{};
 
-	ASSERT_EQ(platform_dialect.read_target(&item, &r, &err), 0);
+	ASSERT_EQ(platform_dialect.parse_target(&item, &r, &err), 0);
 	EXPECT_STREQ(r.id, "i-7f");
 	EXPECT_STREQ(r.service, "s1");
 	EXPECT_STREQ(r.data_centre, "z");
@@ -153,12 +152,13 @@
 	tr_target_record r;
 	tr_error err{};
 
-	EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1);
+	EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1);
 	EXPECT_STREQ(err.field, "address");
 }
 
-/* An entry as targets write it, with one field put in place of another. */
-std::string entry_with(const std::string &old_text, const std::string &new_text)
+/* A record as targets write it, with one part of its text replaced. */
+std::string record_with(const std::string &old_text,
+			const std::string &new_text)
 {
 	std::string text =
 		R"({"born":1782630203067,"address":"10.1.0.9:80","info":)"
@@ -172,21 +172,21 @@
 
 TEST(Platform, ReadsWhenATargetStarted)
 {
-	std::string text = entry_with("v1", "v2");
+	std::string text = record_with("v1", "v2");
 	store_item item = item_of("servers/i-7f", text);
 	tr_target_record r;
 	tr_error err{};
 
-	ASSERT_EQ(platform_dialect.read_target(&item, &r, &err), 0);
+	ASSERT_EQ(platform_dialect.parse_target(&item, &r, &err), 0);
 	EXPECT_EQ(r.born, 1782630203067u);
 }
 
 /*
- * Symptom: requests go to addresses where no target is. Sequence: a program
- * that is no target writes below the targets' keys. Cause: what was missing or
- * of another type was taken for zero or for ready.
+ * Guards against requests to addresses without a target, when another program
+ * writes below the targets' keys and a missing field or one of another type is
+ * taken for zero or for ready.
  */
-TEST(Platform, AnEntryOfAnotherWriterNamesNoTarget)
+TEST(Platform, RecordsOfOtherProgramsAreRejected)
 {
 	const struct {
 		const char *old_text;
@@ -221,40 +221,40 @@
 	};
 
 	for (const auto &w : wrong) {
-		std::string text = entry_with(w.old_text, w.new_text);
+		std::string text = record_with(w.old_text, w.new_text);
 		store_item item = item_of("servers/i-7f", text);
 		tr_target_record r;
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1)
+		EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1)
 			<< text;
 		EXPECT_STREQ(err.field, w.field) << text;
 		EXPECT_STREQ(r.id, "i-7f");
 	}
 }
 
-TEST(Platform, BytesThatAreNoObjectNameNoTarget)
+TEST(Platform, RecordsThatAreNoObjectAreRejected)
 {
 	std::string texts[] = { "", "[1]", "7", std::string("\0\xff{", 3),
-				entry_with("born", "bo\xff\xfen") };
+				record_with("born", "bo\xff\xfen") };
 
 	for (std::string &text : texts) {
 		store_item item = item_of("servers/i-7f", text);
 		tr_target_record r;
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1);
+		EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1);
 		EXPECT_STRNE(err.expected, "");
 	}
 }
 
 /*
- * Symptom: targets get headers that nobody meant to send. Sequence: a key holds
- * a line break. Cause: the id was put into a header as it stood.
+ * Guards against header injection: an id is sent in a header, and its key may
+ * hold a line break.
  */
-TEST(Platform, AnIdThatIsNotPlainIsRefused)
+TEST(Platform, AnIdWithSpacesOrControlsIsRefused)
 {
-	std::string text = entry_with("v1", "v1");
+	std::string text = record_with("v1", "v1");
 	const std::string keys[] = { "servers/", "servers/a b",
 				     "servers/a\r\nX-A: 1",
 				     "servers/" + std::string(64, 'a') };
@@ -264,20 +264,20 @@
 		tr_target_record r;
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_target(&item, &r, &err), -1);
+		EXPECT_EQ(platform_dialect.parse_target(&item, &r, &err), -1);
 		EXPECT_STREQ(err.field, "key");
 		EXPECT_STREQ(r.id, "");
 	}
 }
 
-/* Any entry with some bytes changed is refused with a reason, or is one whose
- * every part can be used as it is. */
-TEST(Platform, AnEntryWithChangedBytesIsRefusedOrUsable)
+/* A record with some bytes changed is either refused with a reason, or every
+ * part of it is usable. */
+TEST(Platform, ACorruptedRecordIsRefusedOrUsable)
 {
 	std::mt19937 random(20261202);
 
 	for (int run = 0; run < 20000; run++) {
-		std::string text = entry_with("v1", "v1");
+		std::string text = record_with("v1", "v1");
 		tr_target_record r;
 		tr_error err{};
 
@@ -285,7 +285,7 @@
 			text[random() % text.size()] = (char)(random() % 256);
 		store_item item = item_of("servers/i-7f", text);
 
-		if (platform_dialect.read_target(&item, &r, &err)) {
+		if (platform_dialect.parse_target(&item, &r, &err)) {
 			EXPECT_NE(err.code, TR_OK) << text;
 			continue;
 		}
@@ -301,7 +301,7 @@
 	std::string text = CONFIG;
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
 	EXPECT_EQ(r->version, 7u);
@@ -315,11 +315,11 @@
 	const tr_path_route *b = tr_routes_match(r, "h.example", 9, "/b/");
 	ASSERT_NE(b, nullptr);
 	EXPECT_STREQ(r->services[b->split[0].service].name, "s2");
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
-/* Every prefix of a configuration is no configuration. */
-TEST(Platform, ACutConfigurationIsRefused)
+/* No proper prefix of a configuration is valid. */
+TEST(Platform, ATruncatedConfigurationIsRefused)
 {
 	std::string whole = CONFIG;
 
@@ -328,7 +328,7 @@
 		store_item item = item_of("op/config", text);
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_routes(&item, &err), nullptr)
+		EXPECT_EQ(platform_dialect.parse_routes(&item, &err), nullptr)
 			<< n;
 		EXPECT_NE(err.code, TR_OK) << n;
 	}
@@ -344,11 +344,11 @@
 	store_item item = item_of("op/config", text);
 	tr_error err{};
 
-	EXPECT_EQ(platform_dialect.read_routes(&item, &err), nullptr);
+	EXPECT_EQ(platform_dialect.parse_routes(&item, &err), nullptr);
 	EXPECT_STREQ(err.field, "service");
 }
 
-/* A field that is new to this version does no harm. */
+/* Fields of later versions are ignored. */
 TEST(Platform, UnknownColumnsAreIgnored)
 {
 	std::string text = CONFIG;
@@ -357,13 +357,13 @@
 		     "\"colour\":\"blue\",\"limits\"");
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	EXPECT_NE(r, nullptr);
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
-/* The configuration with organisations, given as their rows. */
+/* The configuration with organisations added, given as their rows. */
 std::string with_organisations(const std::string &rows)
 {
 	std::string text = CONFIG;
@@ -382,7 +382,7 @@
 		R"(null],["idle",[],1,null,null])");
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
 	ASSERT_NE(r->organisations, nullptr);
@@ -390,16 +390,16 @@
 		tr_organisations_find(r->organisations, "k2");
 	ASSERT_NE(coop, nullptr);
 	EXPECT_STREQ(coop->name, "coop");
-	EXPECT_TRUE(coop->ranked);
+	EXPECT_TRUE(coop->has_priority);
 	EXPECT_EQ(coop->rate, 114);
 	EXPECT_EQ(coop->burst, 57.5);
 	const tr_organisation *agent =
 		tr_organisations_find(r->organisations, "k3");
 	ASSERT_NE(agent, nullptr);
-	EXPECT_FALSE(agent->ranked);
+	EXPECT_FALSE(agent->has_priority);
 	EXPECT_EQ(agent->rate, 0);
 	EXPECT_EQ(tr_organisations_find(r->organisations, "k4"), nullptr);
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
 TEST(Platform, WithoutOrganisationsNoKeysAreNeeded)
@@ -407,11 +407,11 @@
 	std::string text = CONFIG;
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr);
 	EXPECT_EQ(r->organisations, nullptr);
-	tr_routes_drop(r);
+	tr_routes_unref(r);
 }
 
 TEST(Platform, ARouteMayBeOpen)
@@ -423,15 +423,15 @@
 	text.replace(text.find("2,null],"), 7, "2,null,true]");
 	store_item item = item_of("op/config", text);
 	tr_error err{};
-	tr_routes *r = platform_dialect.read_routes(&item, &err);
+	tr_routes *r = platform_dialect.parse_routes(&item, &err);
 
 	ASSERT_NE(r, nullptr) << err.field << err.expected;
-	EXPECT_TRUE(tr_routes_match(r, "h.example", 9, "/a/x")->open);
-	EXPECT_FALSE(tr_routes_match(r, "h.example", 9, "/b/")->open);
-	tr_routes_drop(r);
+	EXPECT_TRUE(tr_routes_match(r, "h.example", 9, "/a/x")->is_public);
+	EXPECT_FALSE(tr_routes_match(r, "h.example", 9, "/b/")->is_public);
+	tr_routes_unref(r);
 }
 
-/* What is wrong is named, and no key with it. */
+/* The error names the invalid field and contains no key. */
 TEST(Platform, WrongOrganisationsAreRefused)
 {
 	const struct {
@@ -452,14 +452,14 @@
 		store_item item = item_of("op/config", text);
 		tr_error err{};
 
-		EXPECT_EQ(platform_dialect.read_routes(&item, &err), nullptr)
+		EXPECT_EQ(platform_dialect.parse_routes(&item, &err), nullptr)
 			<< c.rows;
 		EXPECT_STREQ(err.field, c.field) << c.rows;
 		EXPECT_STRNE(err.value, "k1") << c.rows;
 	}
 }
 
-TEST(Platform, PathsEscapeWhatTheyCarry)
+TEST(Platform, PathsEscapeTheirParameters)
 {
 	g_autofree char *list =
 		platform_dialect.list_path("servers/", "servers/a b&c");
@@ -479,38 +479,38 @@
 
 	message_init(&msg, HTTP_RESPONSE, 32768, 4096);
 	EXPECT_GT(message_feed(&msg, text.data(), text.size()), 0);
-	platform_dialect.read_notice(&msg, &notice);
+	platform_dialect.parse_notice(&msg, &notice);
 	message_free(&msg);
 	return notice;
 }
 
-TEST(Platform, ReadsWhatATargetSaysOfItself)
+TEST(Platform, ReadsAnnouncementsOfATarget)
 {
 	tr_notice n = notice_of(200, "Server-Limit: 1.5 \r\n"
 				     "Server-Leaving: 1 \r\n");
 
 	EXPECT_TRUE(n.leaving);
-	EXPECT_EQ(n.limit_is, TR_NOTICE_GIVEN);
+	EXPECT_EQ(n.limit_state, TR_NOTICE_GIVEN);
 	EXPECT_EQ(n.limit, 1.5);
-	EXPECT_EQ(n.rest_is, TR_NOTICE_ABSENT);
+	EXPECT_EQ(n.rest_state, TR_NOTICE_ABSENT);
 	n = notice_of(503, "Retry-After: 3\r\nX-Not-Executed: 1\r\n");
 	EXPECT_FALSE(n.leaving);
-	EXPECT_EQ(n.limit_is, TR_NOTICE_ABSENT);
-	EXPECT_EQ(n.rest_is, TR_NOTICE_GIVEN);
+	EXPECT_EQ(n.limit_state, TR_NOTICE_ABSENT);
+	EXPECT_EQ(n.rest_state, TR_NOTICE_GIVEN);
 	EXPECT_EQ(n.rest, apr_time_from_sec(3));
 	EXPECT_EQ(notice_of(503, "Retry-After: 0.25\r\n").rest, 250000);
-	EXPECT_EQ(notice_of(200, "").limit_is, TR_NOTICE_ABSENT);
+	EXPECT_EQ(notice_of(200, "").limit_state, TR_NOTICE_ABSENT);
 }
 
-TEST(Platform, ARestIsNamedByRefusalsOnly)
+TEST(Platform, RetryAfterCountsOnlyWithStatus503)
 {
 	for (int status : { 200, 429, 500, 504 })
-		EXPECT_EQ(notice_of(status, "Retry-After: 3\r\n").rest_is,
+		EXPECT_EQ(notice_of(status, "Retry-After: 3\r\n").rest_state,
 			  TR_NOTICE_ABSENT)
 			<< status;
 }
 
-TEST(Platform, WhatATargetSaysThatCannotBeReadSetsNothing)
+TEST(Platform, UnreadableAnnouncementsSetNothing)
 {
 	const std::string bad[] = {
 		"",    "-1",
@@ -527,26 +527,26 @@
 			503, "Server-Limit: " + value +
 				     "\r\nRetry-After: " + value + "\r\n");
 
-		EXPECT_EQ(n.limit_is, TR_NOTICE_UNREADABLE) << value;
-		EXPECT_EQ(n.rest_is, TR_NOTICE_UNREADABLE) << value;
+		EXPECT_EQ(n.limit_state, TR_NOTICE_INVALID) << value;
+		EXPECT_EQ(n.rest_state, TR_NOTICE_INVALID) << value;
 		EXPECT_EQ(n.rest, 0) << value;
 	}
 	EXPECT_EQ(notice_of(200, "Server-Limit: 1\r\nServer-Limit: 9\r\n")
-			  .limit_is,
-		  TR_NOTICE_UNREADABLE);
+			  .limit_state,
+		  TR_NOTICE_INVALID);
 	for (const char *value : { "0", "", "yes", "11" })
 		EXPECT_FALSE(notice_of(200, std::string("Server-Leaving: ") +
 						    value + "\r\n")
 				     .leaving);
 }
 
-TEST(Platform, ALargeNumberIsNoOverflow)
+TEST(Platform, LargeNumbersDoNotOverflow)
 {
 	tr_notice n = notice_of(503, "Server-Limit: " + std::string(32, '9') +
 					     "\r\nRetry-After: " +
 					     std::string(32, '9') + "\r\n");
 
-	EXPECT_EQ(n.limit_is, TR_NOTICE_GIVEN);
+	EXPECT_EQ(n.limit_state, TR_NOTICE_GIVEN);
 	EXPECT_GT(n.rest, 0);
 	EXPECT_EQ(notice_of(503, "Retry-After: 0\r\n").rest, 0);
 }
--- a/tests/route_test.cc
+++ b/tests/route_test.cc
@@ -35,7 +35,7 @@
 
 	void TearDown() override
 	{
-		tr_routes_drop(routes);
+		tr_routes_unref(routes);
 	}
 
 	std::string match(const char *host, const char *path)
@@ -49,7 +49,7 @@
 
 TEST_F(Routes, LongestPrefixOfTheHostWins)
 {
-	ASSERT_EQ(tr_routes_seal(routes, &err), 0);
+	ASSERT_EQ(tr_routes_finalize(routes, &err), 0);
 	EXPECT_EQ(match("a.example", "/x/y/z"), "/x/y/");
 	EXPECT_EQ(match("a.example", "/x/yz"), "/x/");
 	EXPECT_EQ(match("A.Example", "/other"), "/");
@@ -58,9 +58,9 @@
 	EXPECT_EQ(match("c.example", "/x/"), "none");
 }
 
-TEST_F(Routes, SlashesOfTheQueryAreNoPath)
+TEST_F(Routes, SlashesInTheQueryAreNotPartOfThePath)
 {
-	ASSERT_EQ(tr_routes_seal(routes, &err), 0);
+	ASSERT_EQ(tr_routes_finalize(routes, &err), 0);
 	EXPECT_EQ(match("b.example", "/y?p=/x/"), "none");
 	EXPECT_EQ(match("a.example", "/x/?/x/y/"), "/x/");
 }
@@ -69,32 +69,32 @@
 {
 	free(routes->routes[1].prefix);
 	routes->routes[1].prefix = strdup("/x");
-	EXPECT_EQ(tr_routes_seal(routes, &err), -1);
+	EXPECT_EQ(tr_routes_finalize(routes, &err), -1);
 	EXPECT_STREQ(err.field, "prefix");
 	EXPECT_STREQ(err.value, "/x");
 }
 
-TEST_F(Routes, TwoRoutesOfOnePlaceAreRefused)
+TEST_F(Routes, TwoRoutesWithTheSameHostAndPrefixAreRefused)
 {
 	free(routes->routes[1].prefix);
 	routes->routes[1].prefix = strdup("/");
-	EXPECT_EQ(tr_routes_seal(routes, &err), -1);
+	EXPECT_EQ(tr_routes_finalize(routes, &err), -1);
 	EXPECT_EQ(err.code, TR_DUPLICATE);
 }
 
 TEST_F(Routes, ARouteWithoutWeightIsRefused)
 {
 	routes->routes[2].split[0].weight = 0;
-	EXPECT_EQ(tr_routes_seal(routes, &err), -1);
+	EXPECT_EQ(tr_routes_finalize(routes, &err), -1);
 	EXPECT_EQ(err.code, TR_MISSING_FIELD);
 }
 
 /*
- * Symptom: a part of a split gets a share that is off by more than a tenth in
- * a few hundred requests. Sequence: each VM draws at random. Cause: the
- * deviation of random draws; steps of the golden ratio spread evenly.
+ * Guards against a split in which one service's share is off by more than a
+ * tenth over a few hundred requests, by the deviation of independent random
+ * draws at each VM; steps of the golden ratio spread evenly.
  */
-TEST_F(Routes, SplitsHoldInSmallSamplesOverManyVms)
+TEST_F(Routes, SplitsAreAccurateInSmallSamplesOverManyVms)
 {
 	tr_path_route &r = routes->routes[0];
 	int first = 0;
@@ -108,23 +108,23 @@
 		for (int i = 0; i < 8; i++) {
 			point += 0.6180339887498949;
 			point -= static_cast<int>(point);
-			first += tr_split_draw(&r, point) == 0;
+			first += tr_split_choose(&r, point) == 0;
 		}
 	}
 	EXPECT_NEAR(first / 256.0, 0.75, 0.04);
 }
 
 /*
- * Symptom: a request that is running reads freed routes when a new version
- * comes. Cause: the snapshot was dropped while it was held.
+ * Guards against a running request that reads freed routes when a new version
+ * arrives, because the version was dropped while a reference was held.
  */
-TEST_F(Routes, AHeldSnapshotOutlivesItsVersion)
+TEST_F(Routes, AReferenceKeepsAVersionAlive)
 {
-	tr_routes *held = tr_routes_hold(routes);
+	tr_routes *reference = tr_routes_ref(routes);
 
-	tr_routes_drop(routes);
-	EXPECT_EQ(held->users, 1u);
-	EXPECT_STREQ(held->services[0].name, "s");
+	tr_routes_unref(routes);
+	EXPECT_EQ(reference->refs, 1u);
+	EXPECT_STREQ(reference->services[0].name, "s");
 }
 
 } // namespace
--- a/tests/worktime_test.cc
+++ b/tests/worktime_test.cc
@@ -20,8 +20,8 @@
 	for (int i = 0; i < answers; i++) {
 		auto took = (apr_time_t)times(random);
 
-		tr_worktime_took(&w, took);
-		tr_worktime_undisturbed(&w, took);
+		tr_worktime_add(&w, took);
+		tr_worktime_add_uncontended(&w, took);
 	}
 	return w;
 }
@@ -36,30 +36,30 @@
 	EXPECT_NEAR(tr_worktime_spread(&uneven), 0.8, 0.2);
 }
 
-TEST(Worktime, TheGuessCountsUntilThereAreAnswers)
+TEST(Worktime, ThePriorCountsUntilThereAreAnswers)
 {
 	tr_worktime w{};
 
 	EXPECT_EQ(tr_worktime_mean(&w, TR_MSEC(250)), TR_MSEC(250));
 	for (int i = 0; i < 100; i++)
-		tr_worktime_took(&w, TR_MSEC(100));
+		tr_worktime_add(&w, TR_MSEC(100));
 	EXPECT_NEAR(tr_worktime_mean(&w, TR_MSEC(250)), TR_MSEC(100),
 		    TR_MSEC(12));
 }
 
 /*
- * Symptom: at a service whose answers all take much the same time, a request
- * that hangs accuses its target only after four times as long, and others are
- * sent there meanwhile. Cause: the ages at which a running request is suspect
- * were those of work with an exponential tail, whatever the service.
+ * Guards against a hung request at a service with even response times counting
+ * as overdue only after four times as long, while other requests are sent to
+ * its target. The ages at which a running request is suspected were those of
+ * work with an exponential tail, whatever the service.
  */
-TEST(Worktime, EvenWorkIsSuspectSooner)
+TEST(Worktime, HangsAreDetectedEarlierAtEvenServices)
 {
 	tr_worktime even = learned(0.2, 100), uneven = learned(0.9, 100);
-	apr_time_t usual = TR_MSEC(240);
-	apr_time_t sooner = tr_gray_stage_after(TR_STAGE_OVERDUE, usual,
+	apr_time_t mean = TR_MSEC(240);
+	apr_time_t sooner = tr_gray_stage_start(TR_STAGE_OVERDUE, mean,
 						tr_worktime_spread(&even));
-	apr_time_t later = tr_gray_stage_after(TR_STAGE_OVERDUE, usual,
+	apr_time_t later = tr_gray_stage_start(TR_STAGE_OVERDUE, mean,
 					       tr_worktime_spread(&uneven));
 
 	EXPECT_LT(sooner, TR_MSEC(600));
