--- a/entry/caller.c
+++ b/entry/caller.c
@@ -63,7 +63,7 @@
 		c->free_pending = true;
 		return;
 	}
-	loop_cancel(c->listener->loop, c->timer);
+	loop_cancel_timer(c->listener->loop, c->timer);
 	stream_close(&c->stream);
 	unlink_caller(c);
 	message_free(&c->in);
@@ -112,10 +112,10 @@
 
 	if (c->timer && c->timer_due <= at)
 		return;
-	loop_cancel(c->listener->loop, c->timer);
+	loop_cancel_timer(c->listener->loop, c->timer);
 	c->timer_due = at;
-	c->timer = loop_after(c->listener->loop, left > 0 ? left : 0,
-			      on_timeout, c);
+	c->timer = loop_add_timer(c->listener->loop, left > 0 ? left : 0,
+				  on_timeout, c);
 }
 
 /* Answers the request with an error status and closes the connection. */
@@ -279,7 +279,7 @@
 {
 	c->lingering = true;
 	shutdown(c->stream.fd, SHUT_WR);
-	loop_cancel(c->listener->loop, c->timer);
+	loop_cancel_timer(c->listener->loop, c->timer);
 	c->timer = NULL;
 	set_timer(c);
 }
@@ -319,9 +319,9 @@
 	}
 	if (!c->pipelined)
 		return;
-	loop_cancel(c->listener->loop, c->timer);
+	loop_cancel_timer(c->listener->loop, c->timer);
 	c->timer_due = c->last_active_at;
-	c->timer = loop_after(c->listener->loop, 0, serve_pipelined, c);
+	c->timer = loop_add_timer(c->listener->loop, 0, serve_pipelined, c);
 }
 
 /* Starts to serve an accepted connection. Closes it when out of memory. */
--- a/entry/entry_settings.c
+++ b/entry/entry_settings.c
@@ -221,7 +221,7 @@
 		return NULL;
 	if (!check(s, err) && !apply_switched_off(s, err))
 		return s;
-	err->line = yamlfile_line(text, len, err->field);
+	err->line = yamlfile_find_line(text, len, err->field);
 	entry_settings_free(s);
 	return NULL;
 }
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -293,7 +293,7 @@
 
 	if (x->waiting && now + WAIT_POLL_PERIOD < at)
 		at = now + WAIT_POLL_PERIOD;
-	loop_cancel(x->e->loop, x->timer);
+	loop_cancel_timer(x->e->loop, x->timer);
 	x->timer = NULL;
 	for (int i = 0; i < MAX_UPSTREAMS; i++) {
 		apr_time_t next;
@@ -308,7 +308,8 @@
 	}
 	if (x->timer)
 		return;
-	x->timer = loop_after(x->e->loop, at > now ? at - now : 0, on_timer, x);
+	x->timer = loop_add_timer(x->e->loop, at > now ? at - now : 0, on_timer,
+				  x);
 }
 
 /*
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -39,7 +39,7 @@
 {
 	struct entry *e = x->e;
 
-	loop_cancel(e->loop, x->timer);
+	loop_cancel_timer(e->loop, x->timer);
 	for (int i = 0; i < MAX_UPSTREAMS; i++)
 		upstream_release(&x->upstreams[i]);
 	if (x->prev)
@@ -77,8 +77,8 @@
 	x->caller = NULL;
 	for (int i = 0; i < MAX_UPSTREAMS; i++)
 		upstream_stop(&x->upstreams[i], UPSTREAM_ABANDONED);
-	loop_cancel(x->e->loop, x->timer);
-	x->timer = loop_after(x->e->loop, 0, free_deferred, x);
+	loop_cancel_timer(x->e->loop, x->timer);
+	x->timer = loop_add_timer(x->e->loop, 0, free_deferred, x);
 }
 
 /*
--- a/entry/fetch.c
+++ b/entry/fetch.c
@@ -22,7 +22,7 @@
 {
 	fetch_done_fn done = f->done;
 
-	loop_cancel(f->loop, f->timer);
+	loop_cancel_timer(f->loop, f->timer);
 	f->timer = NULL;
 	f->busy = false;
 	if (!answer || !answer->keep_alive)
@@ -85,7 +85,7 @@
 	f->timer = NULL;
 	if (f->progressed && --f->extensions_left) {
 		f->progressed = false;
-		f->timer = loop_after(f->loop, f->timeout, timed_out, f);
+		f->timer = loop_add_timer(f->loop, f->timeout, timed_out, f);
 		return;
 	}
 	close_connection(f);
@@ -137,7 +137,7 @@
 	f->progressed = false;
 	f->extensions_left = TIMEOUT_EXTENSIONS;
 	f->timeout = timeout;
-	f->timer = loop_after(f->loop, timeout, timed_out, f);
+	f->timer = loop_add_timer(f->loop, timeout, timed_out, f);
 	return 0;
 }
 
@@ -146,7 +146,7 @@
 {
 	if (!f->busy)
 		return;
-	loop_cancel(f->loop, f->timer);
+	loop_cancel_timer(f->loop, f->timer);
 	f->timer = NULL;
 	f->busy = false;
 	close_connection(f);
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -203,8 +203,8 @@
 	}
 	if (d->stop_since)
 		step_stop(d, now);
-	loop_after(e->loop, e->ready ? STEP_PERIOD : STEP_PERIOD_AT_START, step,
-		   d);
+	loop_add_timer(e->loop, e->ready ? STEP_PERIOD : STEP_PERIOD_AT_START,
+		       step, d);
 }
 
 static void before_poll(void *ctx)
@@ -347,7 +347,7 @@
 	}
 	d.settings_mtime = mtime_of(path);
 	loop_on_hangup(d.e.loop, on_sighup, &d);
-	loop_on_signals(d.e.loop, on_stop_signal, &d);
+	loop_on_terminate(d.e.loop, on_stop_signal, &d);
 	if (open_services(&d, &err)) {
 		code = print_error(&err);
 	} else {
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -159,7 +159,7 @@
 		return;
 	u->active = false;
 	stream_close(&u->stream);
-	loop_cancel(u->e->loop, u->probe_timer);
+	loop_cancel_timer(u->e->loop, u->probe_timer);
 	u->probe_timer = NULL;
 	if (u->head)
 		g_string_free(u->head, TRUE);
@@ -393,7 +393,7 @@
 		return;
 	}
 	u->probe_timer =
-		loop_after(u->e->loop, CONNECT_TIMEOUT, probe_timed_out, u);
+		loop_add_timer(u->e->loop, CONNECT_TIMEOUT, probe_timed_out, u);
 }
 
 /*
--- a/src/api.c
+++ b/src/api.c
@@ -141,7 +141,7 @@
 		return true;
 	}
 	snprintf(r->service, sizeof(r->service), "%s", name);
-	r->svc = config_attend(r->proxy->config, name);
+	r->svc = config_add_service(r->proxy->config, name);
 	if (r->svc && r->svc->document) {
 		*found = true;
 		return true;
--- a/src/arrive.c
+++ b/src/arrive.c
@@ -112,7 +112,7 @@
 static enum tr_result read_key(struct request *r)
 {
 	const char *text = request_header(r, HEADER_KEY);
-	const char *caller_key = request_header(r, HEADER_OWN_KEY);
+	const char *caller_key = request_header(r, HEADER_IDEMPOTENCY_KEY);
 
 	if (caller_key && *caller_key)
 		r->idempotency_key =
@@ -183,7 +183,7 @@
 		proxy_finish(r, TR_NO_SERVICE);
 		return true;
 	}
-	r->svc = config_attend(r->proxy->config, r->service);
+	r->svc = config_add_service(r->proxy->config, r->service);
 	if (!r->svc || !r->svc->document || !r->svc->confirmed) {
 		if (now - r->began < DOCUMENT_WAIT && r->svc &&
 		    !r->svc->platform_has_none)
--- a/src/bench_slopes.c
+++ b/src/bench_slopes.c
@@ -206,7 +206,7 @@
 {
 	struct bench *w = ctx;
 	struct tr_gossip msg;
-	char buf[CODEC_MAX];
+	char buf[CODEC_MAX_DATAGRAM];
 
 	tr_gossip_build(&w->board, w->svc, &w->svc->peers[0], ++w->sequence,
 			&msg);
@@ -328,7 +328,7 @@
 static void run_datagram(void *ctx)
 {
 	struct datagrams *d = ctx;
-	char buf[CODEC_MAX] = { 0 };
+	char buf[CODEC_MAX_DATAGRAM] = { 0 };
 
 	if (sendto(d->from, buf, d->len, 0, (struct sockaddr *)&d->addr,
 		   sizeof(d->addr)) > 0 &&
--- a/src/client.c
+++ b/src/client.c
@@ -119,11 +119,11 @@
 	struct client *client = ctx;
 
 	(void)multi;
-	loop_cancel(client->loop, client->timer);
+	loop_cancel_timer(client->loop, client->timer);
 	client->timer = NULL;
 	if (ms >= 0)
-		client->timer = loop_after(client->loop, TR_MSEC(ms),
-					   timer_fired, client);
+		client->timer = loop_add_timer(client->loop, TR_MSEC(ms),
+					       timer_fired, client);
 	return 0;
 }
 
@@ -158,11 +158,11 @@
 	client->destroyed = true;
 	for (int i = 0; i < client->pooled; i++)
 		curl_easy_cleanup(client->pool[i]);
-	loop_cancel(client->loop, client->timer);
+	loop_cancel_timer(client->loop, client->timer);
 	client->timer = NULL;
 	/* This may call timer_changed, which sets a timer again. */
 	curl_multi_cleanup(client->multi);
-	loop_cancel(client->loop, client->timer);
+	loop_cancel_timer(client->loop, client->timer);
 	free(client);
 }
 
--- a/src/cmd_status.c
+++ b/src/cmd_status.c
@@ -243,7 +243,7 @@
 		code = print_status(&s, client, vm->sval[0], json->count > 0);
 		fflush(stdout);
 		if (watch->count) {
-			loop_after(s.loop, WATCH_PERIOD, stop_loop, s.loop);
+			loop_add_timer(s.loop, WATCH_PERIOD, stop_loop, s.loop);
 			loop_run(s.loop);
 		}
 	} while (watch->count && !s.stopped);
--- a/src/cmd_timeline.c
+++ b/src/cmd_timeline.c
@@ -179,7 +179,7 @@
 	client = client_new(s.loop, NULL);
 	f.service = service->count ? service->sval[0] : NULL;
 	if (last->count)
-		f.since = (json_int_t)loop_wall(NULL) -
+		f.since = (json_int_t)loop_wall_time(NULL) -
 			  (json_int_t)last->ival[0] * 1000000;
 	events = collect_events(&s, client, vm->sval[0], also, &f);
 	if (events) {
--- a/src/codec.c
+++ b/src/codec.c
@@ -64,7 +64,7 @@
  * under the fleet key. Returns its length, or 0 when it does not fit.
  */
 size_t codec_encode(const struct tr_gossip *msg, const struct tr_secret *secret,
-		    char buf[CODEC_MAX])
+		    char buf[CODEC_MAX_DATAGRAM])
 {
 	char body[WIRE_MAX_BODY];
 	struct wire_envelope env = { .body = { 0, body } };
@@ -84,7 +84,7 @@
 	call.rm_call.cb_proc = WIRE_GOSSIP;
 	call.rm_call.cb_cred = _null_auth;
 	call.rm_call.cb_verf = _null_auth;
-	xdrmem_create(&xdr, buf, CODEC_MAX, XDR_ENCODE);
+	xdrmem_create(&xdr, buf, CODEC_MAX_DATAGRAM, XDR_ENCODE);
 	if (xdr_callmsg(&xdr, &call) && xdr_wire_envelope(&xdr, &env))
 		len = xdr_getpos(&xdr);
 	xdr_destroy(&xdr);
--- a/src/codec.h
+++ b/src/codec.h
@@ -8,10 +8,10 @@
 struct tr_gossip;
 struct tr_secret;
 
-#define CODEC_MAX 1200
+#define CODEC_MAX_DATAGRAM 1200
 
 size_t codec_encode(const struct tr_gossip *msg, const struct tr_secret *secret,
-		    char buf[CODEC_MAX]);
+		    char buf[CODEC_MAX_DATAGRAM]);
 enum tr_result codec_decode_body(const char *body, size_t len,
 				 struct tr_gossip *msg);
 
--- a/src/config.c
+++ b/src/config.c
@@ -99,7 +99,8 @@
 }
 
 /* Begin to serve a service whose name came with a request or a message. */
-struct tr_service *config_attend(struct config *config, const char *service)
+struct tr_service *config_add_service(struct config *config,
+				      const char *service)
 {
 	struct tr_service *svc = tr_board_service(config->board, service);
 	struct config_service *cs;
@@ -127,7 +128,7 @@
 }
 
 /* The values of a service as a peer pulls them, or NULL. */
-json_t *config_resource(struct config *config, const char *service)
+json_t *config_service_json(struct config *config, const char *service)
 {
 	struct tr_service *svc = tr_board_service(config->board, service);
 	const struct config_service *cs;
@@ -140,7 +141,7 @@
 			 value_json(&cs->targets));
 }
 
-json_t *config_list_resource(struct config *config)
+json_t *config_vm_list_json(struct config *config)
 {
 	return json_pack("{s:o}", LIST_RESOURCE, value_json(&config->list));
 }
@@ -164,12 +165,12 @@
 	return config->platform_up;
 }
 
-bool config_has_list(const struct config *config)
+bool config_has_vm_list(const struct config *config)
 {
 	return config->board->fleet.count > 0;
 }
 
-const struct config_counts *config_count(const struct config *config)
+const struct config_counts *config_get_counts(const struct config *config)
 {
 	return &config->counts;
 }
--- a/src/config.h
+++ b/src/config.h
@@ -31,16 +31,17 @@
 			  struct tr_board *board,
 			  const struct config_options *options);
 void config_destroy(struct config *config);
-struct tr_service *config_attend(struct config *config, const char *service);
+struct tr_service *config_add_service(struct config *config,
+				      const char *service);
 void config_step(struct config *config);
-void config_peer_has(struct config *config, struct tr_service *svc,
-		     const struct tr_peer *peer, uint64_t list_revision);
-json_t *config_resource(struct config *config, const char *service);
-json_t *config_list_resource(struct config *config);
+void config_pull_newer(struct config *config, struct tr_service *svc,
+		       const struct tr_peer *peer, uint64_t list_revision);
+json_t *config_service_json(struct config *config, const char *service);
+json_t *config_vm_list_json(struct config *config);
 json_t *config_status(struct config *config, const struct tr_service *svc);
 bool config_platform_up(const struct config *config);
-bool config_has_list(const struct config *config);
-const struct config_counts *config_count(const struct config *config);
+bool config_has_vm_list(const struct config *config);
+const struct config_counts *config_get_counts(const struct config *config);
 void config_on_change(struct config *config, void (*fn)(void *ctx), void *ctx);
 
 #endif
--- a/src/config_read.c
+++ b/src/config_read.c
@@ -227,8 +227,8 @@
 }
 
 /* A peer's message names the revisions it holds: get what is newer. */
-void config_peer_has(struct config *config, struct tr_service *svc,
-		     const struct tr_peer *peer, uint64_t list_revision)
+void config_pull_newer(struct config *config, struct tr_service *svc,
+		       const struct tr_peer *peer, uint64_t list_revision)
 {
 	struct config_service *cs = config_service_of(config, svc);
 	const struct tr_vm *vm = vm_of(config, peer->vm_id);
--- a/src/docfile.c
+++ b/src/docfile.c
@@ -131,7 +131,7 @@
 	tr_document_defaults(doc);
 	if (!tr_document_check(doc, err))
 		return doc;
-	err->line = yamlfile_line(text, len, err->field);
+	err->line = yamlfile_find_line(text, len, err->field);
 	docfile_free(doc);
 	return NULL;
 }
--- a/src/headers.h
+++ b/src/headers.h
@@ -2,18 +2,18 @@
 #define HEADERS_H
 
 /* Headers of the interface to callers; see docs/INTERFACE.md. */
-#define HEADER_SERVICE	    "Toucanreel-Service"
-#define HEADER_KEY	    "Toucanreel-Key"
-#define HEADER_DEADLINE	    "Toucanreel-Deadline-Ms"
-#define HEADER_ORGANISATION "Toucanreel-Organisation"
-#define HEADER_OUTCOME	    "Toucanreel-Outcome"
-#define HEADER_CODE	    "Toucanreel-Code"
-#define HEADER_RETRY_AFTER  "Toucanreel-Retry-After-Ms"
-#define HEADER_REPLAYED	    "Toucanreel-Replayed"
-#define HEADER_FORWARDED    "Toucanreel-Forwarded"
-#define HEADER_MAC	    "Toucanreel-Mac"
-#define HEADER_PREFIX	    "Toucanreel-"
-#define HEADER_OWN_KEY	    "Idempotency-Key"
+#define HEADER_SERVICE	       "Toucanreel-Service"
+#define HEADER_KEY	       "Toucanreel-Key"
+#define HEADER_DEADLINE	       "Toucanreel-Deadline-Ms"
+#define HEADER_ORGANISATION    "Toucanreel-Organisation"
+#define HEADER_OUTCOME	       "Toucanreel-Outcome"
+#define HEADER_CODE	       "Toucanreel-Code"
+#define HEADER_RETRY_AFTER     "Toucanreel-Retry-After-Ms"
+#define HEADER_REPLAYED	       "Toucanreel-Replayed"
+#define HEADER_FORWARDED       "Toucanreel-Forwarded"
+#define HEADER_MAC	       "Toucanreel-Mac"
+#define HEADER_PREFIX	       "Toucanreel-"
+#define HEADER_IDEMPOTENCY_KEY "Idempotency-Key"
 
 /* Headers between this system and targets; docs/INTERFACE.md again. */
 #define HEADER_NOT_RUN	       "X-Not-Run"
--- a/src/loop.c
+++ b/src/loop.c
@@ -63,7 +63,7 @@
 }
 
 /* Wall time in microseconds, for the time line only; decides nothing. */
-uint64_t loop_wall(void *ctx)
+uint64_t loop_wall_time(void *ctx)
 {
 	(void)ctx;
 	return (uint64_t)apr_time_now();
@@ -171,8 +171,8 @@
 }
 
 /* Call fn once after delay microseconds. */
-struct loop_timer *loop_after(struct loop *loop, apr_time_t delay, loop_fn fn,
-			      void *ctx)
+struct loop_timer *loop_add_timer(struct loop *loop, apr_time_t delay,
+				  loop_fn fn, void *ctx)
 {
 	struct loop_timer *t = calloc(1, sizeof(*t));
 
@@ -187,7 +187,7 @@
 	return t;
 }
 
-void loop_cancel(struct loop *loop, struct loop_timer *timer)
+void loop_cancel_timer(struct loop *loop, struct loop_timer *timer)
 {
 	(void)loop;
 	if (!timer)
@@ -300,14 +300,15 @@
 		loop->on_signal.fn(loop->on_signal.ctx);
 }
 
-/* Call fn for each SIGHUP, from the loop; to be said before loop_on_signals. */
+/* Call fn for each SIGHUP, from the loop; to be said before loop_on_terminate.
+ */
 void loop_on_hangup(struct loop *loop, loop_fn fn, void *ctx)
 {
 	loop->on_hangup = (struct hook){ fn, ctx };
 }
 
 /* Call fn for each SIGTERM or SIGINT, from the loop. */
-void loop_on_signals(struct loop *loop, loop_fn fn, void *ctx)
+void loop_on_terminate(struct loop *loop, loop_fn fn, void *ctx)
 {
 	sigset_t set;
 
--- a/src/metrics.c
+++ b/src/metrics.c
@@ -109,8 +109,8 @@
 
 static void put_control_plane(GString *out, const struct operator_parts *parts)
 {
-	const struct peer_counts *link = peer_count(parts->link);
-	const struct config_counts *config = config_count(parts->config);
+	const struct peer_counts *link = peer_get_counts(parts->link);
+	const struct config_counts *config = config_get_counts(parts->config);
 	struct rusage usage;
 
 	getrusage(RUSAGE_SELF, &usage);
--- a/src/operator.c
+++ b/src/operator.c
@@ -135,7 +135,7 @@
 
 static json_t *link_json(const struct peer_link *link)
 {
-	const struct peer_counts *c = peer_count(link);
+	const struct peer_counts *c = peer_get_counts(link);
 
 	return json_pack(
 		"{s:I, s:I, s:I, s:I, s:I, s:I, s:I}", "sent",
@@ -161,7 +161,7 @@
 
 static json_t *platform_json(const struct config *config)
 {
-	const struct config_counts *c = config_count(config);
+	const struct config_counts *c = config_get_counts(config);
 
 	return json_pack("{s:b, s:I, s:I, s:I, s:I, s:I}", "up",
 			 (int)config_platform_up(config), "calls",
@@ -238,7 +238,8 @@
 
 	return reply_to_peer(
 		op, conn,
-		service ? config_resource(op->parts.config, service) : NULL);
+		service ? config_service_json(op->parts.config, service)
+			: NULL);
 }
 
 static enum MHD_Result reply_events(struct operator_port *op,
@@ -278,7 +279,7 @@
 		return reply_resource(op, conn);
 	if (!strcmp(url, "/peer/v1/vms"))
 		return reply_to_peer(op, conn,
-				     config_list_resource(op->parts.config));
+				     config_vm_list_json(op->parts.config));
 	return server_reply_json(
 		conn, 404,
 		json_pack("{s:s}", "error",
--- a/src/peer.c
+++ b/src/peer.c
@@ -124,7 +124,8 @@
 		free(link);
 		return NULL;
 	}
-	link->transport = svc_dg_create(link->fd, CODEC_MAX, CODEC_MAX);
+	link->transport =
+		svc_dg_create(link->fd, CODEC_MAX_DATAGRAM, CODEC_MAX_DATAGRAM);
 	if (!link->transport || !svc_reg(link->transport, WIRE_PEER,
 					 WIRE_VERSION, dispatch, NULL)) {
 		tr_error_set(err, TR_PORT_IN_USE, "peer_port", "",
@@ -154,7 +155,7 @@
 		tr_fleet_find(&link->board->fleet, peer->vm_id);
 	struct sockaddr_in addr = { .sin_family = AF_INET };
 	struct tr_gossip msg;
-	char buf[CODEC_MAX];
+	char buf[CODEC_MAX_DATAGRAM];
 	size_t len;
 
 	if (!vm || inet_pton(AF_INET, vm->peer_address, &addr.sin_addr) != 1)
@@ -196,7 +197,7 @@
 	}
 }
 
-const struct peer_counts *peer_count(const struct peer_link *link)
+const struct peer_counts *peer_get_counts(const struct peer_link *link)
 {
 	return &link->counts;
 }
--- a/src/peer.h
+++ b/src/peer.h
@@ -30,6 +30,6 @@
 			    struct tr_error *err);
 void peer_close(struct peer_link *link);
 void peer_step(struct peer_link *link);
-const struct peer_counts *peer_count(const struct peer_link *link);
+const struct peer_counts *peer_get_counts(const struct peer_link *link);
 
 #endif
--- a/src/server.c
+++ b/src/server.c
@@ -76,12 +76,12 @@
 	}
 	if (server->timer && !server->run_pending)
 		return;
-	loop_cancel(server->loop, server->timer);
+	loop_cancel_timer(server->loop, server->timer);
 	if (ms > MAX_WAIT_MS)
 		ms = MAX_WAIT_MS;
-	server->timer =
-		loop_after(server->loop, server->run_pending ? 0 : TR_MSEC(ms),
-			   timer_expired, server);
+	server->timer = loop_add_timer(server->loop,
+				       server->run_pending ? 0 : TR_MSEC(ms),
+				       timer_expired, server);
 }
 
 /* Makes MHD run soon; call after resuming a connection. */
@@ -144,7 +144,7 @@
 void server_destroy(struct server *server)
 {
 	loop_unwatch(server->loop, server->epoll_fd);
-	loop_cancel(server->loop, server->timer);
+	loop_cancel_timer(server->loop, server->timer);
 	MHD_stop_daemon(server->daemon);
 	if (server->listen_fd >= 0)
 		close(server->listen_fd);
--- a/src/settings.c
+++ b/src/settings.c
@@ -146,7 +146,7 @@
 	set_defaults(s);
 	if (!check(s, err))
 		return s;
-	err->line = yamlfile_line(text, len, err->field);
+	err->line = yamlfile_find_line(text, len, err->field);
 	settings_free(s);
 	return NULL;
 }
@@ -175,8 +175,8 @@
 }
 
 /* Read the fleet key, and the previous one while keys are rotated. */
-int settings_secret(const struct settings *settings, struct tr_secret *secret,
-		    struct tr_error *err)
+int settings_load_secret(const struct settings *settings,
+			 struct tr_secret *secret, struct tr_error *err)
 {
 	memset(secret, 0, sizeof(*secret));
 	if (read_key(settings->fleet_key, secret->bytes, err))
--- a/src/settings.h
+++ b/src/settings.h
@@ -35,7 +35,7 @@
 
 struct settings *settings_load(const char *path, struct tr_error *err);
 void settings_free(struct settings *settings);
-int settings_secret(const struct settings *settings, struct tr_secret *secret,
-		    struct tr_error *err);
+int settings_load_secret(const struct settings *settings,
+			 struct tr_secret *secret, struct tr_error *err);
 
 #endif
--- a/src/standin.c
+++ b/src/standin.c
@@ -32,7 +32,7 @@
 	if (!s->loop)
 		return -1;
 	log_setup(LOG_LEVEL_INFO, false, name);
-	loop_on_signals(s->loop, stop, s);
+	loop_on_terminate(s->loop, stop, s);
 	return 0;
 }
 
--- a/src/toucanreel_load.c
+++ b/src/toucanreel_load.c
@@ -62,7 +62,7 @@
 
 	retry->load = load;
 	retry->op = op;
-	loop_after(load->standin.loop, delay, on_retry, retry);
+	loop_add_timer(load->standin.loop, delay, on_retry, retry);
 }
 
 static size_t receive_body(char *data, size_t size, size_t n, void *ctx)
@@ -335,7 +335,8 @@
 		loop_stop(load->standin.loop);
 		return;
 	}
-	loop_after(load->standin.loop, TICK_PERIOD, send_due_requests, load);
+	loop_add_timer(load->standin.loop, TICK_PERIOD, send_due_requests,
+		       load);
 }
 
 static void start_sending(void *ctx)
@@ -362,7 +363,8 @@
 			 o->prefix, i);
 		load_lookup(load, &load->callers[i]);
 	}
-	loop_after(load->standin.loop, LOOKUP_LEAD_TIME, start_sending, load);
+	loop_add_timer(load->standin.loop, LOOKUP_LEAD_TIME, start_sending,
+		       load);
 	standin_run(&load->standin);
 	return load_report(load) ? 1 : 0;
 }
--- a/src/toucanreel_platform.c
+++ b/src/toucanreel_platform.c
@@ -104,8 +104,9 @@
 	v->len = len;
 	v->index = ++p->index;
 	g_ptr_array_add(p->versions, v);
-	tr_event_append(&p->events, loop_wall(NULL), TR_EVENT_DOCUMENT, "", key,
-			"published, revision %lu", (unsigned long)v->index);
+	tr_event_append(&p->events, loop_wall_time(NULL), TR_EVENT_DOCUMENT, "",
+			key, "published, revision %lu",
+			(unsigned long)v->index);
 }
 
 static const struct fault_rule *find_rule(const struct platform *p,
@@ -279,7 +280,7 @@
 		p->rules_count = 0;
 	else if (p->rules_count < MAX_RULES)
 		p->rules[p->rules_count++] = fault_rule;
-	tr_event_append(&p->events, loop_wall(NULL), TR_EVENT_FAULT, "",
+	tr_event_append(&p->events, loop_wall_time(NULL), TR_EVENT_FAULT, "",
 			"platform", "%s for %s", mode, *from ? from : "all");
 	return server_reply_json(conn, 200, json_pack("{s:s}", "mode", mode));
 }
@@ -379,7 +380,7 @@
 		MHD_resume_connection(call->conn);
 		server_wake(p->server);
 	}
-	loop_after(p->standin.loop, SWEEP_INTERVAL, sweep, p);
+	loop_add_timer(p->standin.loop, SWEEP_INTERVAL, sweep, p);
 }
 
 /* Publishes all files below a directory, by their relative path as key. */
--- a/src/toucanreel_relay.c
+++ b/src/toucanreel_relay.c
@@ -119,9 +119,9 @@
 	delayed->to = route->to;
 	delayed->len = len;
 	memcpy(delayed->data, data, len);
-	loop_after(relay->standin.loop,
-		   TR_MSEC(tr_random_below(&relay->random, ms + 1)),
-		   send_delayed, delayed);
+	loop_add_timer(relay->standin.loop,
+		       TR_MSEC(tr_random_below(&relay->random, ms + 1)),
+		       send_delayed, delayed);
 }
 
 static void relay_datagram(struct relay *relay, const struct route *route,
@@ -235,8 +235,8 @@
 		relay->rules_count = 0;
 	else if (relay->rules_count < MAX_RULES)
 		relay->rules[relay->rules_count++] = rule;
-	tr_event_append(&relay->events, loop_wall(NULL), TR_EVENT_FAULT, "",
-			"relay", "%s from '%s' to '%s'", mode, rule.from,
+	tr_event_append(&relay->events, loop_wall_time(NULL), TR_EVENT_FAULT,
+			"", "relay", "%s from '%s' to '%s'", mode, rule.from,
 			rule.to);
 	return server_reply_json(conn, 200, json_pack("{s:s}", "mode", mode));
 }
--- a/src/toucanreel_target.c
+++ b/src/toucanreel_target.c
@@ -188,7 +188,7 @@
 {
 	struct ledger_entry *e;
 
-	t->last_work_wall = loop_wall(NULL);
+	t->last_work_wall = loop_wall_time(NULL);
 	if (!job->has_id)
 		return;
 	e = g_hash_table_lookup(t->ledger, job->id);
@@ -370,11 +370,11 @@
 	t->flap_period = TR_MSEC(standin_query_number(conn, "period_ms", 3000));
 	snprintf(t->served_from, sizeof(t->served_from), "%s",
 		 standin_query(conn, "from", "127."));
-	tr_event_append(&t->events, loop_wall(NULL), TR_EVENT_FAULT, "",
+	tr_event_append(&t->events, loop_wall_time(NULL), TR_EVENT_FAULT, "",
 			t->name, "%s", mode);
 	return server_reply_json(conn, 200,
 				 json_pack("{s:s, s:I}", "mode", mode, "at_us",
-					   (json_int_t)loop_wall(NULL)));
+					   (json_int_t)loop_wall_time(NULL)));
 }
 
 static enum MHD_Result
@@ -521,7 +521,7 @@
 		MHD_resume_connection(job->conn);
 		server_wake(t->server);
 	}
-	loop_after(t->standin.loop, SWEEP_INTERVAL / 5, sweep, t);
+	loop_add_timer(t->standin.loop, SWEEP_INTERVAL / 5, sweep, t);
 }
 
 static int run(struct target *t, const char *listen)
--- a/src/toucanreeld.c
+++ b/src/toucanreeld.c
@@ -63,7 +63,7 @@
 	peer_step(d->link);
 	health_step(d->health);
 	tr_dispatcher_sweep(&d->board->dispatcher, now, SWEEP_RECORDS);
-	loop_after(d->loop, STEP_PERIOD, periodic_step, d);
+	loop_add_timer(d->loop, STEP_PERIOD, periodic_step, d);
 }
 
 static void sweep_requests(void *ctx)
@@ -71,7 +71,7 @@
 	struct daemon *d = ctx;
 
 	proxy_sweep(d->proxy);
-	loop_after(d->loop, SWEEP_PERIOD, sweep_requests, d);
+	loop_add_timer(d->loop, SWEEP_PERIOD, sweep_requests, d);
 }
 
 static void step_config(void *ctx)
@@ -79,7 +79,7 @@
 	struct daemon *d = ctx;
 
 	config_step(d->config);
-	loop_after(d->loop, CONFIG_PERIOD, step_config, d);
+	loop_add_timer(d->loop, CONFIG_PERIOD, step_config, d);
 }
 
 /*
@@ -89,14 +89,14 @@
 static void peer_message_received(void *ctx, const struct tr_gossip *msg)
 {
 	struct daemon *d = ctx;
-	struct tr_service *svc = config_attend(d->config, msg->service);
+	struct tr_service *svc = config_add_service(d->config, msg->service);
 	struct tr_peer *peer = svc ? tr_member_find(svc, msg->from) : NULL;
 
 	if (!peer)
 		return;
 	peer->document_revision = msg->document_revision;
 	peer->targets_revision = msg->targets_revision;
-	config_peer_has(d->config, svc, peer, msg->list_revision);
+	config_pull_newer(d->config, svc, peer, msg->list_revision);
 }
 
 /* Ends the loop once no caller is connected, or at the time limit. */
@@ -112,7 +112,7 @@
 		loop_stop(d->loop);
 		return;
 	}
-	loop_after(d->loop, DRAIN_CHECK_PERIOD, check_drained, d);
+	loop_add_timer(d->loop, DRAIN_CHECK_PERIOD, check_drained, d);
 }
 
 /* The longest time for which callers may keep this VM's address, in us. */
@@ -159,7 +159,7 @@
 		       "leaving, for at most %ld s",
 		       (long)((d->stop_at - now) / APR_USEC_PER_SEC));
 	log_info("shutting down: draining connections");
-	loop_after(d->loop, DRAIN_CHECK_PERIOD, check_drained, d);
+	loop_add_timer(d->loop, DRAIN_CHECK_PERIOD, check_drained, d);
 }
 
 static int init_board(struct daemon *d)
@@ -175,7 +175,7 @@
 	d->board = b;
 	b->clock = *loop_clock(d->loop);
 	b->events = d->events;
-	b->wall = loop_wall;
+	b->wall = loop_wall_time;
 	b->started_at = tr_clock_now(&b->clock);
 	b->vm_id = tr_hash_string(s->name);
 	snprintf(b->vm_name, sizeof(b->vm_name), "%s", s->name);
@@ -265,7 +265,7 @@
 	int code = EXIT_USAGE;
 
 	d.settings = settings_load(path, &err);
-	if (!d.settings || settings_secret(d.settings, &d.secret, &err)) {
+	if (!d.settings || settings_load_secret(d.settings, &d.secret, &err)) {
 		print_error(&err);
 		stop_modules(&d);
 		return EXIT_USAGE;
@@ -282,7 +282,7 @@
 	if (!d.loop || init_board(&d) || start_modules(&d, &err)) {
 		print_error(&err);
 	} else {
-		loop_on_signals(d.loop, on_signal, &d);
+		loop_on_terminate(d.loop, on_signal, &d);
 		tr_board_event(d.board, TR_EVENT_START, "", d.board->vm_name,
 			       "version %s", TOUCANREEL_VERSION);
 		log_info("serving on %s:%u", d.settings->address,
--- a/src/yamlfile.c
+++ b/src/yamlfile.c
@@ -131,7 +131,7 @@
  * The line of a field such as "routes[2].path", or of the nearest field
  * around it that is there. 0 when the text is not YAML.
  */
-int yamlfile_line(const char *text, size_t len, const char *path)
+int yamlfile_find_line(const char *text, size_t len, const char *path)
 {
 	yaml_parser_t parser;
 	yaml_document_t doc;
@@ -312,7 +312,7 @@
 			       &data, NULL);
 	if (code != CYAML_OK) {
 		translate(&cap, code, schema, err);
-		line = yamlfile_line(text, len, err->field);
+		line = yamlfile_find_line(text, len, err->field);
 		err->line = line ? line : cap.line;
 		data = NULL;
 	} else if (!data) {
--- a/src/yamlfile.h
+++ b/src/yamlfile.h
@@ -10,7 +10,7 @@
 		    const struct cyaml_schema_value *schema,
 		    struct tr_error *err);
 void yamlfile_free(const struct cyaml_schema_value *schema, void *data);
-int yamlfile_line(const char *text, size_t len, const char *path);
+int yamlfile_find_line(const char *text, size_t len, const char *path);
 char *yamlfile_read(const char *path, size_t *len, struct tr_error *err);
 
 #endif
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -37,7 +37,7 @@
 
 struct Codec : testing::Test {
 	tr_secret secret{};
-	char buf[CODEC_MAX];
+	char buf[CODEC_MAX_DATAGRAM];
 
 	void SetUp() override
 	{
--- a/tests/property_test.cc
+++ b/tests/property_test.cc
@@ -280,7 +280,7 @@
 		      tr_gossip in{};
 		      tr_gossip out;
 		      tr_secret secret{};
-		      char buf[CODEC_MAX];
+		      char buf[CODEC_MAX_DATAGRAM];
 
 		      snprintf(in.service, sizeof(in.service), "svc");
 		      in.sequence = sequence;
@@ -292,7 +292,7 @@
 							   n / 4 };
 		      }
 		      size_t len = codec_encode(&in, &secret, buf);
-		      RC_ASSERT(len > 0u && len <= CODEC_MAX);
+		      RC_ASSERT(len > 0u && len <= CODEC_MAX_DATAGRAM);
 		      /* Body: after the call's header and its own length. */
 		      const size_t head = 44;
 		      RC_ASSERT(codec_decode_body(buf + head,
--- a/tests/stack.h
+++ b/tests/stack.h
@@ -271,7 +271,7 @@
 		Stack *s = static_cast<Stack *>(ctx);
 
 		proxy_sweep(s->proxy);
-		loop_after(s->loop, TR_MSEC(5), sweep, s);
+		loop_add_timer(s->loop, TR_MSEC(5), sweep, s);
 	}
 
 	int connect_to_proxy()
