--- a/src/config.c
+++ b/src/config.c
@@ -1,3 +1,7 @@
+/*
+ * The configuration of a VM: the documents and target lists of its services
+ * and the list of VMs, read from the platform or from peers.
+ */
 #include "config.h"
 
 #include <stdlib.h>
@@ -8,8 +12,8 @@
 #include "loop.h"
 #include "service.h"
 
-#define JOIN_WAIT  TR_SEC(5)
-#define ATTEND_FOR TR_SEC(60)
+#define CONFIRM_TIMEOUT TR_SEC(5)
+#define NEW_SERVICE_TTL TR_SEC(60)
 
 struct config_service *config_service_of(struct config *config,
 					 const struct tr_service *svc)
@@ -22,20 +26,21 @@
 	return tr_clock_now(&config->board->clock);
 }
 
-/* Something came into force: tell who waits for it. */
-void config_changed(struct config *config)
+/* Calls the handler set with config_on_change. */
+void config_notify_change(struct config *config)
 {
 	if (config->on_change)
 		config->on_change(config->on_change_ctx);
 }
 
 /*
- * A document is confirmed once a peer that has served says that it holds no
- * newer one, or all of the cell were heard, or, alone, after a while. A VM
- * that was replaced while the platform is stale would else bring an old
- * document back into force.
+ * Marks the document as confirmed once a peer with a confirmed document
+ * reports no newer revision, once every peer of the cell was heard without a
+ * newer one, or after CONFIRM_TIMEOUT. Without this, a VM that is replaced
+ * while the platform returns stale data would bring an old document back into
+ * force.
  */
-static void step_confirmed(struct config *config, struct tr_service *svc)
+static void update_confirmed(struct config *config, struct tr_service *svc)
 {
 	apr_time_t now = config_now(config);
 	bool all = true;
@@ -48,8 +53,8 @@
 
 		if (!peer->in_cell)
 			continue;
-		/* Without an echo of this process it may have been sent before
-		 * the revision that an earlier process here held. */
+		/* Without an echo of this process, the message may predate the
+		 * revision that an earlier process of this VM held. */
 		if (!peer->last_echo_at ||
 		    peer->document_revision > svc->document_revision) {
 			all = false;
@@ -57,20 +62,20 @@
 		}
 		any |= peer->confirmed;
 	}
-	if (!any && !all && now - svc->added_at < JOIN_WAIT)
+	if (!any && !all && now - svc->added_at < CONFIRM_TIMEOUT)
 		return;
 	svc->confirmed = true;
 	svc->confirmed_alone = !any && !all;
-	config_changed(config);
+	config_notify_change(config);
 }
 
-static void release(struct config *config, struct tr_service *svc)
+static void remove_service(struct config *config, struct tr_service *svc)
 {
 	struct config_service *cs = config_service_of(config, svc);
 
 	client_fetch_cancel(config->client, cs->platform.fetch);
 	client_fetch_cancel(config->client, cs->pull.fetch);
-	docfile_free(cs->retired);
+	docfile_free(cs->previous_document);
 	docfile_free(svc->document);
 	free(cs->document.text);
 	free(cs->targets.text);
@@ -78,27 +83,34 @@
 	tr_service_release(svc);
 }
 
-/* Read, watch and pull as needed; call a few times a second. */
+/*
+ * Starts the reads and pulls that are due and removes services that this VM no
+ * longer needs. To be called several times a second.
+ */
 void config_step(struct config *config)
 {
 	struct tr_board *board = config->board;
 	apr_time_t now = config_now(config);
 
-	config_step_readers(config);
+	config_step_fetchers(config);
 	for (int i = 0; i < TR_MAX_SERVICES; i++) {
 		struct tr_service *svc = &board->services[i];
 
 		if (!svc->used)
 			continue;
-		step_confirmed(config, svc);
-		/* A request that still holds the row would else find another
-		 * service in it. */
+		update_confirmed(config, svc);
+		/* A request that still refers to the row would otherwise find
+		 * another service in it. */
 		if (!svc->in_cell && now > svc->needed_until && !svc->users)
-			release(config, svc);
+			remove_service(config, svc);
 	}
 }
 
-/* Begin to serve a service whose name came with a request or a message. */
+/*
+ * Adds a service on the first request or message that names it, and starts to
+ * read its configuration. Returns the existing row if there is one, or NULL if
+ * no row is free.
+ */
 struct tr_service *config_add_service(struct config *config,
 				      const char *service)
 {
@@ -110,11 +122,11 @@
 	svc = tr_board_add_service(config->board, service);
 	if (!svc)
 		return NULL;
-	svc->needed_until = config_now(config) + ATTEND_FOR;
+	svc->needed_until = config_now(config) + NEW_SERVICE_TTL;
 	cs = config_service_of(config, svc);
-	cs->platform = (struct reader){ .config = config, .svc = svc };
-	cs->pull = (struct reader){ .config = config, .svc = svc };
-	config_read_now(config, &cs->platform);
+	cs->platform = (struct fetcher){ .config = config, .svc = svc };
+	cs->pull = (struct fetcher){ .config = config, .svc = svc };
+	config_fetch_now(config, &cs->platform);
 	return svc;
 }
 
@@ -123,11 +135,14 @@
 	if (!value->text)
 		return json_null();
 	return json_pack("{s:I, s:s%}", "revision",
-			 (json_int_t)value->held.revision, "text", value->text,
+			 (json_int_t)value->state.revision, "text", value->text,
 			 value->len);
 }
 
-/* The values of a service as a peer pulls them, or NULL. */
+/*
+ * The document and target list of a service in the format that peers pull, or
+ * NULL if this VM does not have the service.
+ */
 json_t *config_service_json(struct config *config, const char *service)
 {
 	struct tr_service *svc = tr_board_service(config->board, service);
@@ -141,12 +156,14 @@
 			 value_json(&cs->targets));
 }
 
+/* The list of VMs in the format that peers pull. */
 json_t *config_vm_list_json(struct config *config)
 {
-	return json_pack("{s:o}", LIST_RESOURCE, value_json(&config->list));
+	return json_pack("{s:o}", VM_LIST_RESOURCE,
+			 value_json(&config->vm_list));
 }
 
-/* Revisions in force, and what was refused and why. */
+/* The revisions in force, and the last refused revision with its reason. */
 json_t *config_status(struct config *config, const struct tr_service *svc)
 {
 	const struct config_service *cs = config_service_of(config, svc);
@@ -156,8 +173,8 @@
 			 (json_int_t)svc->targets_revision, "confirmed",
 			 (int)svc->confirmed, "confirmed_alone",
 			 (int)svc->confirmed_alone, "refused_revision",
-			 (json_int_t)cs->document.held.refused,
-			 "refused_reason", cs->document.reason);
+			 (json_int_t)cs->document.state.refused,
+			 "refused_reason", cs->document.refused_reason);
 }
 
 bool config_platform_up(const struct config *config)
@@ -175,14 +192,17 @@
 	return &config->counts;
 }
 
-/* Call fn whenever something came into force. */
+/*
+ * Sets the function to call whenever a document or list comes into force or is
+ * confirmed, and when the platform has no document for a service.
+ */
 void config_on_change(struct config *config, void (*fn)(void *ctx), void *ctx)
 {
 	config->on_change = fn;
 	config->on_change_ctx = ctx;
 }
 
-/* Configuration of a VM; board outlives it. */
+/* Creates the configuration of a VM; board must outlive it. */
 struct config *config_new(struct loop *loop, struct client *client,
 			  struct tr_board *board,
 			  const struct config_options *options)
@@ -195,8 +215,8 @@
 	config->client = client;
 	config->board = board;
 	config->options = *options;
-	config->list_platform.config = config;
-	config->list_pull.config = config;
+	config->vm_list_platform.config = config;
+	config->vm_list_pull.config = config;
 	return config;
 }
 
@@ -206,11 +226,11 @@
 		struct tr_service *svc = &config->board->services[i];
 
 		if (svc->used)
-			release(config, svc);
+			remove_service(config, svc);
 	}
-	client_fetch_cancel(config->client, config->list_platform.fetch);
-	client_fetch_cancel(config->client, config->list_pull.fetch);
-	free(config->list.text);
+	client_fetch_cancel(config->client, config->vm_list_platform.fetch);
+	client_fetch_cancel(config->client, config->vm_list_pull.fetch);
+	free(config->vm_list.text);
 	free(config->board->fleet.vms);
 	free(config);
 }
--- a/src/config.h
+++ b/src/config.h
@@ -1,3 +1,7 @@
+/*
+ * The configuration of a VM: reads it from the platform and from peers,
+ * validates it and puts it into force.
+ */
 #ifndef CONFIG_H
 #define CONFIG_H
 
@@ -12,19 +16,20 @@
 struct config;
 
 struct config_options {
-	const char *platform;
+	const char *platform; /* base URL, http://IP:PORT */
 	const struct tr_secret *secret;
+	/* Operator addresses of VMs to pull from while the platform is down. */
 	const char *const *seeds;
 	unsigned seeds_count;
 };
 
-/* What the operator sees of the configuration. */
+/* Counters for the metrics and the status page. */
 struct config_counts {
 	uint64_t platform_calls;
 	uint64_t platform_failures;
 	uint64_t peer_pulls;
-	uint64_t old_revisions;
-	uint64_t refused;
+	uint64_t old_revisions; /* received, older than the one in force */
+	uint64_t refused;	/* revisions that failed validation */
 };
 
 struct config *config_new(struct loop *loop, struct client *client,
--- a/src/config_read.c
+++ b/src/config_read.c
@@ -1,4 +1,8 @@
-/* Who reads the platform and when, and what is pulled from peers. */
+/*
+ * Reads the configuration from the platform and pulls it from peers. The
+ * platform serves Consul's key-value API; a blocking query on it is called a
+ * watch here.
+ */
 #include <sodium.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,57 +14,60 @@
 #define LOG_MODULE "config"
 #include "log.h"
 
-#define PREFIX		"toucanreel/"
-#define WATCH_S		20
-#define READ_TIMEOUT	TR_SEC(2)
-#define PULL_TIMEOUT	TR_SEC(1)
-#define RETRY_DELAY	TR_MSEC(500)
-#define MOST_DOUBLINGS	4
-#define POLL_LEAST	TR_SEC(2)
-#define POLL_CALLS_A_S	1000.0
-#define SERVICE_READERS 2
-#define LIST_READERS	3
-#define NONE_KEPT	TR_SEC(2)
-#define URL_MAX		320
-
-static void say_platform(struct config *config, bool up)
+#define KEY_PREFIX	    "toucanreel/"
+#define WATCH_WAIT_S	    20
+#define READ_TIMEOUT	    TR_SEC(2)
+#define PULL_TIMEOUT	    TR_SEC(1)
+#define RETRY_DELAY	    TR_MSEC(500)
+#define MAX_DOUBLINGS	    4
+#define MIN_POLL_PERIOD	    TR_SEC(2)
+#define POLL_CALLS_PER_S    1000.0
+#define SERVICE_WATCHERS    2
+#define VM_LIST_WATCHERS    3
+#define MISSING_SERVICE_TTL TR_SEC(2)
+#define URL_MAX		    320
+
+static void set_platform_up(struct config *config, bool up)
 {
-	if (config->platform_up == up && config->platform_said)
+	if (config->platform_up == up && config->platform_logged)
 		return;
 	config->platform_up = up;
-	config->platform_said = true;
+	config->platform_logged = true;
 	tr_board_event(config->board,
 		       up ? TR_EVENT_PLATFORM_UP : TR_EVENT_PLATFORM_DOWN, "",
-		       "platform", "%s", up ? "answers" : "does not answer");
+		       "platform", "%s", up ? "responds" : "does not respond");
 	if (up)
-		log_info("platform answers");
+		log_info("platform is up");
 	else
-		log_warning("platform does not answer");
+		log_warning("platform is down");
 }
 
-/* One row of the platform's answer: where it stands, its value, its index. */
-static void take_row(struct config *config, struct tr_service *svc,
-		     const char *key, uint64_t revision, const char *text,
-		     size_t len)
+/*
+ * Applies one key-value entry. The last part of the key names the value, and
+ * revision is the entry's ModifyIndex.
+ */
+static void apply_kv_entry(struct config *config, struct tr_service *svc,
+			   const char *key, uint64_t revision, const char *text,
+			   size_t len)
 {
 	const char *last = strrchr(key, '/');
 
 	last = last ? last + 1 : key;
 	if (!svc) {
-		if (!strcmp(last, LIST_RESOURCE))
-			config_offer_list(config, revision, text, len,
-					  "platform");
+		if (!strcmp(last, VM_LIST_RESOURCE))
+			config_apply_vm_list(config, revision, text, len,
+					     "platform");
 	} else if (!strcmp(last, DOCUMENT_VALUE)) {
-		config_offer_document(config, svc, revision, text, len,
+		config_apply_document(config, svc, revision, text, len,
 				      "platform");
 	} else if (!strcmp(last, TARGETS_VALUE)) {
-		config_offer_targets(config, svc, revision, text, len,
+		config_apply_targets(config, svc, revision, text, len,
 				     "platform");
 	}
 }
 
-static void take_rows(struct config *config, struct tr_service *svc,
-		      const char *body, size_t body_len)
+static void apply_kv_entries(struct config *config, struct tr_service *svc,
+			     const char *body, size_t body_len)
 {
 	auto_json json_t *root = json_loadb(body, body_len, 0, NULL);
 	size_t i;
@@ -83,77 +90,82 @@
 				      sodium_base64_VARIANT_ORIGINAL))
 			continue;
 		raw[len] = 0;
-		take_row(config, svc, key, (uint64_t)rev, (char *)raw, len);
+		apply_kv_entry(config, svc, key, (uint64_t)rev, (char *)raw,
+			       len);
 	}
 }
 
-/* Readers of a platform that is down must not meet it all at once when it is
- * back: they wait longer each time, and not alike. */
-static apr_time_t back_off(struct config *config, struct reader *reader)
+/*
+ * Exponential backoff with up to 50 percent of jitter, so that the VMs do not
+ * all reach the platform at once when it is back.
+ */
+static apr_time_t backoff_delay(struct config *config, struct fetcher *fetcher)
 {
-	apr_time_t wait = RETRY_DELAY << reader->failures;
+	apr_time_t wait = RETRY_DELAY << fetcher->failures;
 
-	if (reader->failures < MOST_DOUBLINGS)
-		reader->failures++;
+	if (fetcher->failures < MAX_DOUBLINGS)
+		fetcher->failures++;
 	return wait +
 	       tr_random_below(&config->board->random, 500) * (wait / 1000);
 }
 
-static void platform_answered(void *ctx, const struct fetch_response *answer)
+static void on_platform_response(void *ctx, const struct fetch_response *answer)
 {
-	struct reader *reader = ctx;
-	struct config *config = reader->config;
-	bool well = answer->status == 200 || answer->status == 404;
-
-	reader->fetch = NULL;
-	reader->next_at = config_now(config) + reader->period;
-	if (!well) {
-		reader->next_at = config_now(config) + back_off(config, reader);
+	struct fetcher *fetcher = ctx;
+	struct config *config = fetcher->config;
+	bool ok = answer->status == 200 || answer->status == 404;
+
+	fetcher->fetch = NULL;
+	fetcher->next_at = config_now(config) + fetcher->period;
+	if (!ok) {
+		fetcher->next_at =
+			config_now(config) + backoff_delay(config, fetcher);
 		config->counts.platform_failures++;
-		reader->index = 0;
-		say_platform(config, false);
+		fetcher->index = 0;
+		set_platform_up(config, false);
 		return;
 	}
-	reader->failures = 0;
-	say_platform(config, true);
-	/* An index that goes back is a platform that was restored from a copy:
-	 * watch from the start again, as its protocol asks for. */
-	reader->index = answer->index < reader->index ? 0 : answer->index;
-	take_rows(config, reader->svc, answer->body, answer->len);
-	if (reader->svc && !reader->svc->document) {
-		reader->svc->platform_has_none = true;
-		reader->svc->needed_until = config_now(config) + NONE_KEPT;
-		config_changed(config);
+	fetcher->failures = 0;
+	set_platform_up(config, true);
+	/* An index that decreases means that the platform was restored from a
+	 * backup; its protocol asks to reset the index to 0 then. */
+	fetcher->index = answer->index < fetcher->index ? 0 : answer->index;
+	apply_kv_entries(config, fetcher->svc, answer->body, answer->len);
+	if (fetcher->svc && !fetcher->svc->document) {
+		fetcher->svc->platform_has_none = true;
+		fetcher->svc->needed_until =
+			config_now(config) + MISSING_SERVICE_TTL;
+		config_notify_change(config);
 	}
 }
 
-static void read_platform(struct config *config, struct reader *reader,
-			  bool watch)
+static void fetch_from_platform(struct config *config, struct fetcher *fetcher,
+				bool watch)
 {
 	char url[URL_MAX];
 	char path[128];
 	int n;
 
-	snprintf(path, sizeof(path), "%s%s%s", PREFIX,
-		 reader->svc ? "services/" : "",
-		 reader->svc ? reader->svc->name : LIST_RESOURCE);
+	snprintf(path, sizeof(path), "%s%s%s", KEY_PREFIX,
+		 fetcher->svc ? "services/" : "",
+		 fetcher->svc ? fetcher->svc->name : VM_LIST_RESOURCE);
 	n = snprintf(url, sizeof(url), "%s/v1/kv/%s%s",
 		     config->options.platform, path,
-		     reader->svc ? "/?recurse=true" : "?");
-	reader->watching = watch && reader->index;
-	if (reader->watching)
+		     fetcher->svc ? "/?recurse=true" : "?");
+	fetcher->watching = watch && fetcher->index;
+	if (fetcher->watching)
 		snprintf(url + n, sizeof(url) - (size_t)n,
-			 "&index=%lu&wait=%ds", (unsigned long)reader->index,
-			 WATCH_S);
+			 "&index=%lu&wait=%ds", (unsigned long)fetcher->index,
+			 WATCH_WAIT_S);
 	config->counts.platform_calls++;
-	reader->fetch = client_fetch(config->client, url, NULL,
-				     reader->watching ? TR_SEC(WATCH_S + 5)
-						      : READ_TIMEOUT,
-				     platform_answered, reader);
+	fetcher->fetch = client_fetch(
+		config->client, url, NULL,
+		fetcher->watching ? TR_SEC(WATCH_WAIT_S + 5) : READ_TIMEOUT,
+		on_platform_response, fetcher);
 }
 
-static int check_mac(const struct config *config,
-		     const struct fetch_response *answer)
+static int verify_mac(const struct config *config,
+		      const struct fetch_response *answer)
 {
 	unsigned char mac[TR_MAC_SIZE];
 	size_t len = 0;
@@ -166,7 +178,7 @@
 			    mac);
 }
 
-static void offer_from_json(struct config *config, struct tr_service *svc,
+static void apply_from_json(struct config *config, struct tr_service *svc,
 			    json_t *root, const char *name)
 {
 	json_t *value = json_object_get(root, name);
@@ -177,78 +189,82 @@
 
 	if (!text)
 		return;
-	if (!strcmp(name, LIST_RESOURCE))
-		config_offer_list(config, revision, text, len, "peer");
+	if (!strcmp(name, VM_LIST_RESOURCE))
+		config_apply_vm_list(config, revision, text, len, "peer");
 	else if (!strcmp(name, DOCUMENT_VALUE))
-		config_offer_document(config, svc, revision, text, len, "peer");
+		config_apply_document(config, svc, revision, text, len, "peer");
 	else
-		config_offer_targets(config, svc, revision, text, len, "peer");
+		config_apply_targets(config, svc, revision, text, len, "peer");
 }
 
-static void pull_answered(void *ctx, const struct fetch_response *answer)
+static void on_pull_response(void *ctx, const struct fetch_response *answer)
 {
-	struct reader *reader = ctx;
-	struct config *config = reader->config;
+	struct fetcher *fetcher = ctx;
+	struct config *config = fetcher->config;
 	auto_json json_t *root = NULL;
 
-	reader->fetch = NULL;
-	reader->next_at = config_now(config) + RETRY_DELAY / 2;
-	if (answer->status != 200 || check_mac(config, answer))
+	fetcher->fetch = NULL;
+	fetcher->next_at = config_now(config) + RETRY_DELAY / 2;
+	if (answer->status != 200 || verify_mac(config, answer))
 		return;
 	root = json_loadb(answer->body, answer->len, 0, NULL);
 	if (!root)
 		return;
-	if (reader->svc) {
-		offer_from_json(config, reader->svc, root, DOCUMENT_VALUE);
-		offer_from_json(config, reader->svc, root, TARGETS_VALUE);
+	if (fetcher->svc) {
+		apply_from_json(config, fetcher->svc, root, DOCUMENT_VALUE);
+		apply_from_json(config, fetcher->svc, root, TARGETS_VALUE);
 	} else {
-		offer_from_json(config, NULL, root, LIST_RESOURCE);
+		apply_from_json(config, NULL, root, VM_LIST_RESOURCE);
 	}
 }
 
-static void pull(struct config *config, struct reader *reader,
+static void pull(struct config *config, struct fetcher *fetcher,
 		 const char *authority)
 {
 	char url[URL_MAX];
 
-	if (reader->fetch || config_now(config) < reader->next_at)
+	if (fetcher->fetch || config_now(config) < fetcher->next_at)
 		return;
 	snprintf(url, sizeof(url), "http://%s/peer/v1/%s%s", authority,
-		 reader->svc ? "resource?service=" : "vms",
-		 reader->svc ? reader->svc->name : "");
+		 fetcher->svc ? "resource?service=" : "vms",
+		 fetcher->svc ? fetcher->svc->name : "");
 	config->counts.peer_pulls++;
-	reader->fetch = client_fetch(config->client, url, NULL, PULL_TIMEOUT,
-				     pull_answered, reader);
+	fetcher->fetch = client_fetch(config->client, url, NULL, PULL_TIMEOUT,
+				      on_pull_response, fetcher);
 }
 
-static const struct tr_vm *vm_of(const struct config *config, uint64_t id)
+static const struct tr_vm *find_vm(const struct config *config, uint64_t id)
 {
 	return tr_fleet_find(&config->board->fleet, id);
 }
 
-/* A peer's message names the revisions it holds: get what is newer. */
+/* Pulls from a peer whatever its message says it holds in a newer revision. */
 void config_pull_newer(struct config *config, struct tr_service *svc,
 		       const struct tr_peer *peer, uint64_t list_revision)
 {
 	struct config_service *cs = config_service_of(config, svc);
-	const struct tr_vm *vm = vm_of(config, peer->vm_id);
+	const struct tr_vm *vm = find_vm(config, peer->vm_id);
 	char authority[64];
 
 	if (!vm)
 		return;
 	snprintf(authority, sizeof(authority), "%s:%u", vm->address,
 		 vm->operator_port);
-	if ((peer->document_revision > cs->document.held.revision &&
-	     peer->document_revision != cs->document.held.refused) ||
+	if ((peer->document_revision > cs->document.state.revision &&
+	     peer->document_revision != cs->document.state.refused) ||
 	    peer->targets_revision > svc->targets_revision)
 		pull(config, &cs->pull, authority);
 	if (list_revision > config->board->fleet.revision &&
-	    list_revision != config->list.held.refused)
-		pull(config, &config->list_pull, authority);
+	    list_revision != config->vm_list.state.refused)
+		pull(config, &config->vm_list_pull, authority);
 }
 
-static unsigned better_readers(const struct config *config,
-			       const struct tr_service *svc)
+/*
+ * How many peers of the cell that are up rank before this VM in watching the
+ * service, by rendezvous hashing.
+ */
+static unsigned count_higher_ranked(const struct config *config,
+				    const struct tr_service *svc)
 {
 	uint64_t salt = tr_hash_pair(svc->id, 1);
 	uint64_t mine = tr_hash_pair(salt, config->board->vm_id);
@@ -266,13 +282,15 @@
 static bool watches_service(const struct config *config,
 			    const struct tr_service *svc)
 {
-	return svc->in_cell && better_readers(config, svc) < SERVICE_READERS;
+	return svc->in_cell &&
+	       count_higher_ranked(config, svc) < SERVICE_WATCHERS;
 }
 
-static bool watches_list(const struct config *config)
+/* The first VM_LIST_WATCHERS VMs of a data centre watch the list of VMs. */
+static bool watches_vm_list(const struct config *config)
 {
 	const struct tr_board *board = config->board;
-	uint64_t salt = tr_hash_string(LIST_RESOURCE);
+	uint64_t salt = tr_hash_string(VM_LIST_RESOURCE);
 	uint64_t mine = tr_hash_pair(salt, board->vm_id);
 	unsigned n = 0;
 
@@ -283,74 +301,79 @@
 		     !strcmp(vm->data_centre, board->data_centre) &&
 		     tr_hash_pair(salt, vm->id) > mine;
 	}
-	return n < LIST_READERS;
+	return n < VM_LIST_WATCHERS;
 }
 
 /*
- * How long between the reads of a VM that does not watch. Each reads now and
- * then all the same, in case the platform is stale for those that do watch.
- * The period grows with the fleet, so that the calls of all stay level.
+ * The time between two reads of one value by a VM that does not watch it. Such
+ * VMs still read it, in case the platform returns stale data to the watchers.
+ * The period grows with the fleet and with the VM's services, so that the
+ * whole fleet makes about POLL_CALLS_PER_S calls a second.
  */
 static apr_time_t poll_period(const struct config *config)
 {
 	const struct tr_board *board = config->board;
-	unsigned mine = 0;
+	unsigned served = 0;
 	apr_time_t period;
 
 	for (int i = 0; i < TR_MAX_SERVICES; i++)
-		mine += board->services[i].used;
-	period = (apr_time_t)((double)mine * (double)board->fleet.count /
-			      POLL_CALLS_A_S * 1e6);
-	return period > POLL_LEAST ? period : POLL_LEAST;
+		served += board->services[i].used;
+	period = (apr_time_t)((double)served * (double)board->fleet.count /
+			      POLL_CALLS_PER_S * 1e6);
+	return period > MIN_POLL_PERIOD ? period : MIN_POLL_PERIOD;
 }
 
-static void step_reader(struct config *config, struct reader *reader,
-			bool watch)
+static void step_fetcher(struct config *config, struct fetcher *fetcher,
+			 bool watch)
 {
 	apr_time_t now = config_now(config);
 	apr_time_t jitter;
 
-	if (reader->fetch || now < reader->next_at)
+	if (fetcher->fetch || now < fetcher->next_at)
 		return;
 	jitter = tr_random_below(&config->board->random, 500000);
-	reader->period = watch ? TR_MSEC(20) : poll_period(config) + jitter;
-	read_platform(config, reader, watch);
+	fetcher->period = watch ? TR_MSEC(20) : poll_period(config) + jitter;
+	fetch_from_platform(config, fetcher, watch);
 }
 
-static void ask_seed(struct config *config, struct reader *reader)
+/* Pulls from a random seed while the platform is down. */
+static void pull_from_seed(struct config *config, struct fetcher *fetcher)
 {
 	unsigned n = config->options.seeds_count;
 
 	if (n && !config->platform_up)
-		pull(config, reader,
+		pull(config, fetcher,
 		     config->options.seeds[tr_random_below(
 			     &config->board->random, n)]);
 }
 
-/* Read, watch and pull what is due. */
-void config_step_readers(struct config *config)
+/*
+ * Starts the requests that are due. A VM without a list of VMs, or without the
+ * document of a service, also asks the seeds.
+ */
+void config_step_fetchers(struct config *config)
 {
 	struct tr_board *board = config->board;
 
-	step_reader(config, &config->list_platform,
-		    !board->fleet.count || watches_list(config));
+	step_fetcher(config, &config->vm_list_platform,
+		     !board->fleet.count || watches_vm_list(config));
 	if (!board->fleet.count)
-		ask_seed(config, &config->list_pull);
+		pull_from_seed(config, &config->vm_list_pull);
 	for (int i = 0; i < TR_MAX_SERVICES; i++) {
 		struct tr_service *svc = &board->services[i];
 
 		if (!svc->used)
 			continue;
-		step_reader(config, &config->services[i].platform,
-			    watches_service(config, svc));
+		step_fetcher(config, &config->services[i].platform,
+			     watches_service(config, svc));
 		if (!svc->document)
-			ask_seed(config, &config->services[i].pull);
+			pull_from_seed(config, &config->services[i].pull);
 	}
 }
 
-/* Read once without waiting for the reader's turn. */
-void config_read_now(struct config *config, struct reader *reader)
+/* Starts a read of the platform at once. */
+void config_fetch_now(struct config *config, struct fetcher *fetcher)
 {
-	step_reader(config, reader, false);
-	reader->next_at = 0;
+	step_fetcher(config, fetcher, false);
+	fetcher->next_at = 0;
 }
