--- a/src/codec.c
+++ b/src/codec.c
@@ -60,8 +60,8 @@
 }
 
 /*
- * Write a message as one ONC RPC call that asks for no reply, authenticated
- * under the fleet key. Returns its length, or 0 when it does not fit.
+ * Encodes a message as an ONC RPC call without a reply, with a MAC under the
+ * fleet key. Returns its length, or 0 if it does not fit.
  */
 size_t codec_encode(const struct tr_gossip *msg, const struct tr_secret *secret,
 		    char buf[CODEC_MAX_DATAGRAM])
@@ -114,7 +114,7 @@
 	}
 }
 
-static bool in_range(const struct tr_gossip *msg)
+static bool is_valid(const struct tr_gossip *msg)
 {
 	for (uint32_t i = 0; i < msg->orders_count; i++)
 		if (msg->orders[i].kind > TR_ORDER_PROBATION)
@@ -122,7 +122,10 @@
 	return *msg->service != 0;
 }
 
-/* Read an authenticated body. TR_OK or TR_UNDECODABLE. */
+/*
+ * Decodes the body of an envelope whose MAC was verified. Returns TR_OK, or
+ * TR_UNDECODABLE if it is malformed, has trailing bytes or an invalid value.
+ */
 enum tr_result codec_decode_body(const char *body, size_t len,
 				 struct tr_gossip *msg)
 {
@@ -149,7 +152,7 @@
 		msg->targets_revision = wire.targets_revision;
 		rows_from_wire(&wire, msg);
 		orders_from_wire(&wire, msg);
-		if (in_range(msg))
+		if (is_valid(msg))
 			res = TR_OK;
 	}
 	xdr_destroy(&xdr);
--- a/src/codec.h
+++ b/src/codec.h
@@ -1,3 +1,4 @@
+/* Encodes and decodes the messages between VMs, see message.x. */
 #ifndef CODEC_H
 #define CODEC_H
 
@@ -8,6 +9,7 @@
 struct tr_gossip;
 struct tr_secret;
 
+/* Most bytes of an encoded message, RPC header and MAC included. */
 #define CODEC_MAX_DATAGRAM 1200
 
 size_t codec_encode(const struct tr_gossip *msg, const struct tr_secret *secret,
--- a/src/message.x
+++ b/src/message.x
@@ -1,9 +1,13 @@
-/* What entry VMs send each other: one-way ONC RPC calls over UDP. */
+/*
+ * The messages that the VMs of a cell send each other: one-way ONC RPC calls
+ * over UDP. The structs mirror those of lib/gossip.h.
+ */
 
 const WIRE_MAX_ROWS = 32;
 const WIRE_MAX_BODY = 1100;
 const WIRE_MAX_NAME = 47;
 
+/* Running totals of the sender's outcomes at one target. */
 struct wire_row {
 	unsigned int target;
 	unsigned int well;
@@ -11,6 +15,7 @@
 	unsigned int bad_run;
 };
 
+/* An order of the service's owner for one target. */
 struct wire_order {
 	unsigned int target;
 	unsigned int kind;
--- a/src/peer.c
+++ b/src/peer.c
@@ -1,3 +1,7 @@
+/*
+ * Sends and receives the messages between VMs. Incoming datagrams are
+ * dispatched by the RPC library; outgoing ones are written by codec.c.
+ */
 #include "peer.h"
 
 #include <arpa/inet.h>
@@ -20,9 +24,9 @@
 #include "log.h"
 
 #define SOCKET_BUFFER (512 * 1024)
-/* What a VM may send of control in a second, all services together: 7 KB by
- * the plan for two years (docs/CAPACITY.md), less what goes out in any case. */
-#define CONTROL_BYTES_A_S 6000.0
+/* Budget of a VM for control messages of all services: 7 KB/s by the two-year
+ * plan (docs/CAPACITY.md), less the messages that are sent regardless. */
+#define CONTROL_BYTES_PER_S 6000.0
 
 struct peer_link {
 	struct loop *loop;
@@ -33,14 +37,14 @@
 	uint64_t sequence;
 	struct tr_pacer pacer;
 	struct peer_counts counts;
-	peer_heard_fn heard;
+	peer_message_fn on_message;
 	void *ctx;
 };
 
-/* The RPC library's dispatcher carries no context of the caller's. */
+/* Global, because the RPC library passes no context to its dispatcher. */
 static struct peer_link *the_link;
 
-static void take(struct peer_link *link, const struct wire_envelope *env)
+static void receive(struct peer_link *link, const struct wire_envelope *env)
 {
 	struct tr_gossip msg;
 
@@ -58,7 +62,7 @@
 	}
 	if (msg.from == link->board->vm_id)
 		return;
-	link->heard(link->ctx, &msg);
+	link->on_message(link->ctx, &msg);
 	if (tr_gossip_receive(link->board, &msg) == TR_STALE_DATAGRAM)
 		link->counts.stale++;
 }
@@ -73,11 +77,11 @@
 	if (!svc_getargs(transport, (xdrproc_t)xdr_wire_envelope, (char *)&env))
 		the_link->counts.undecodable++;
 	else
-		take(the_link, &env);
+		receive(the_link, &env);
 	svc_freeargs(transport, (xdrproc_t)xdr_wire_envelope, (char *)&env);
 }
 
-static void readable(void *ctx, int fd, int events)
+static void on_readable(void *ctx, int fd, int events)
 {
 	(void)ctx;
 	(void)events;
@@ -104,11 +108,14 @@
 			    "expected a free UDP port of this VM");
 }
 
-/* Open the link to the VM's peers on its UDP port; NULL and err if taken. */
+/*
+ * Opens the link to the peers on a UDP port. Returns NULL and sets err if the
+ * port cannot be used.
+ */
 struct peer_link *peer_open(struct loop *loop, struct tr_board *board,
 			    const struct tr_secret *secret, const char *ip,
-			    uint16_t port, peer_heard_fn heard, void *ctx,
-			    struct tr_error *err)
+			    uint16_t port, peer_message_fn on_message,
+			    void *ctx, struct tr_error *err)
 {
 	struct peer_link *link = calloc(1, sizeof(*link));
 
@@ -117,7 +124,7 @@
 	link->loop = loop;
 	link->board = board;
 	link->secret = secret;
-	link->heard = heard;
+	link->on_message = on_message;
 	link->ctx = ctx;
 	link->fd = bind_socket(ip, port, err);
 	if (link->fd < 0) {
@@ -129,13 +136,13 @@
 	if (!link->transport || !svc_reg(link->transport, WIRE_PEER,
 					 WIRE_VERSION, dispatch, NULL)) {
 		tr_error_set(err, TR_PORT_IN_USE, "peer_port", "",
-			     "expected a socket that RPC can use");
+			     "expected a socket that the RPC library accepts");
 		close(link->fd);
 		free(link);
 		return NULL;
 	}
 	the_link = link;
-	loop_watch(loop, link->fd, LOOP_READ, readable, link);
+	loop_watch(loop, link->fd, LOOP_READ, on_readable, link);
 	return link;
 }
 
@@ -164,7 +171,7 @@
 	tr_gossip_build(link->board, svc, peer, ++link->sequence, &msg);
 	len = codec_encode(&msg, link->secret, buf);
 	if (!len) {
-		link->counts.too_long++;
+		link->counts.oversized++;
 		return;
 	}
 	if (sendto(link->fd, buf, len, MSG_DONTWAIT, (struct sockaddr *)&addr,
@@ -175,7 +182,7 @@
 	tr_pacer_consume(&link->pacer, (double)len);
 }
 
-/* Send what is due to the peers of every service. */
+/* Sends the messages that are due to the peers of every service. */
 void peer_step(struct peer_link *link)
 {
 	struct tr_board *board = link->board;
@@ -190,7 +197,7 @@
 			if (svc->peers[i].in_cell &&
 			    tr_gossip_due(svc, &svc->peers[i],
 					  tr_pacer_allows(&link->pacer,
-							  CONTROL_BYTES_A_S,
+							  CONTROL_BYTES_PER_S,
 							  now),
 					  now))
 				send_to(link, svc, &svc->peers[i]);
--- a/src/peer.h
+++ b/src/peer.h
@@ -1,3 +1,4 @@
+/* The UDP socket on which a VM exchanges messages with its peers. */
 #ifndef PEER_H
 #define PEER_H
 
@@ -17,17 +18,17 @@
 	uint64_t received_bytes;
 	uint64_t bad_mac;
 	uint64_t undecodable;
-	uint64_t stale;
-	uint64_t too_long;
+	uint64_t stale; /* duplicate, out of order or from a former process */
+	uint64_t oversized; /* not sent: did not fit in a datagram */
 };
 
-/* Called for each authentic message, before it is taken in. */
-typedef void (*peer_heard_fn)(void *ctx, const struct tr_gossip *msg);
+/* Called for each authenticated message, before it is processed. */
+typedef void (*peer_message_fn)(void *ctx, const struct tr_gossip *msg);
 
 struct peer_link *peer_open(struct loop *loop, struct tr_board *board,
 			    const struct tr_secret *secret, const char *ip,
-			    uint16_t port, peer_heard_fn heard, void *ctx,
-			    struct tr_error *err);
+			    uint16_t port, peer_message_fn on_message,
+			    void *ctx, struct tr_error *err);
 void peer_close(struct peer_link *link);
 void peer_step(struct peer_link *link);
 const struct peer_counts *peer_get_counts(const struct peer_link *link);
