--- a/src/docfile.h
+++ b/src/docfile.h
@@ -1,3 +1,4 @@
+/* Parser of service documents in YAML. */
 #ifndef DOCFILE_H
 #define DOCFILE_H
 
--- a/src/gather.c
+++ b/src/gather.c
@@ -11,42 +11,46 @@
 #define GATHER_TIMEOUT TR_SEC(5)
 #define URL_SIZE       256
 
-struct gathering {
+struct gather {
 	struct loop *loop;
 	json_t *answers;
-	unsigned waiting;
+	unsigned pending;
 };
 
-static void answered(void *ctx, const struct fetch_response *answer)
+static void on_response(void *ctx, const struct fetch_response *answer)
 {
-	struct gathering *all = ctx;
+	struct gather *all = ctx;
 	json_t *root = NULL;
 
 	if (answer->status == 200)
 		root = json_loadb(answer->body, answer->len, 0, NULL);
 	if (root)
 		json_array_append_new(all->answers, root);
-	if (--all->waiting == 0)
+	if (--all->pending == 0)
 		loop_stop(all->loop);
 }
 
-/* Get all URLs at once; the answers that came, as a JSON list. */
+/*
+ * Fetches all URLs concurrently and runs the loop until each has responded or
+ * timed out. Returns the bodies of the successful responses as a JSON array.
+ */
 json_t *gather_json(struct loop *loop, struct client *client,
 		    const char *const *urls, unsigned count)
 {
-	struct gathering all = { loop, json_array(), 0 };
+	struct gather all = { loop, json_array(), 0 };
 
 	for (unsigned i = 0; i < count; i++)
 		if (client_fetch(client, urls[i], NULL, GATHER_TIMEOUT,
-				 answered, &all))
-			all.waiting++;
-	if (all.waiting)
+				 on_response, &all))
+			all.pending++;
+	if (all.pending)
 		loop_run(loop);
 	return all.answers;
 }
 
-/* The published list of VMs, as one VM's operator port knows it. */
-static json_t *list_of(struct loop *loop, struct client *client, const char *vm)
+/* Fetches the list of VMs from one VM's operator port. NULL on failure. */
+static json_t *fetch_vm_list(struct loop *loop, struct client *client,
+			     const char *vm)
 {
 	char url[URL_SIZE];
 	const char *urls[1] = { url };
@@ -63,13 +67,14 @@
 }
 
 /*
- * Ask the operator port of every VM of the fleet for a path. One VM's operator
- * address is enough to find them all. NULL when that one does not answer.
+ * Fetches a path from the operator port of every VM of the fleet. vm is the
+ * operator address of any one VM, from which the list of VMs is fetched; NULL
+ * if it does not respond.
  */
 json_t *gather_from_fleet(struct loop *loop, struct client *client,
 			  const char *vm, const char *path)
 {
-	auto_json json_t *vms = list_of(loop, client, vm);
+	auto_json json_t *vms = fetch_vm_list(loop, client, vm);
 	size_t n = json_array_size(vms);
 	char *text = calloc(n + 1, URL_SIZE);
 	const char **urls = calloc(n + 1, sizeof(*urls));
--- a/src/gather.h
+++ b/src/gather.h
@@ -1,3 +1,4 @@
+/* Fetches JSON from several VMs at once, for the command-line tools. */
 #ifndef GATHER_H
 #define GATHER_H
 
--- a/src/settings.c
+++ b/src/settings.c
@@ -1,3 +1,4 @@
+/* The YAML schema, defaults and checks of the settings file. */
 #include "settings.h"
 
 #include <arpa/inet.h>
@@ -17,14 +18,14 @@
 #define PTR	   CYAML_FLAG_POINTER
 #define SET	   struct settings
 
-static const cyaml_strval_t level_words[] = {
+static const cyaml_strval_t level_values[] = {
 	{ "error", LOG_LEVEL_ERROR },
 	{ "warning", LOG_LEVEL_WARNING },
 	{ "info", LOG_LEVEL_INFO },
 	{ "debug", LOG_LEVEL_DEBUG },
 };
 
-static const cyaml_schema_value_t word = {
+static const cyaml_schema_value_t string_entry = {
 	CYAML_VALUE_STRING(PTR, char, 1, TEXT_CHARS),
 };
 
@@ -49,10 +50,11 @@
 	CYAML_FIELD_UINT("connections", OPT, SET, connections),
 	CYAML_FIELD_UINT("stop_after_s", OPT, SET, stop_after_s),
 	CYAML_FIELD_ENUM("log_level", OPT | CYAML_FLAG_STRICT, SET, log_level,
-			 level_words, CYAML_ARRAY_LEN(level_words)),
+			 level_values, CYAML_ARRAY_LEN(level_values)),
 	CYAML_FIELD_STRING_PTR("log_format", PTR | OPT, SET, log_format, 1,
 			       TEXT_CHARS),
-	CYAML_FIELD_SEQUENCE("seeds", PTR | OPT, SET, seeds, &word, 0, 16),
+	CYAML_FIELD_SEQUENCE("seeds", PTR | OPT, SET, seeds, &string_entry, 0,
+			     16),
 	CYAML_FIELD_END,
 };
 
@@ -80,8 +82,8 @@
 {
 	const struct {
 		const char *field;
-		uint32_t value, least, most;
-	} rows[] = {
+		uint32_t value, min, max;
+	} ranges[] = {
 		{ "port", s->port, 1, 65535 },
 		{ "peer_port", s->peer_port, 1, 65535 },
 		{ "operator_port", s->operator_port, 1, 65535 },
@@ -94,14 +96,14 @@
 	};
 	char text[16];
 
-	for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++) {
-		if (rows[i].value >= rows[i].least &&
-		    rows[i].value <= rows[i].most)
+	for (size_t i = 0; i < sizeof(ranges) / sizeof(ranges[0]); i++) {
+		if (ranges[i].value >= ranges[i].min &&
+		    ranges[i].value <= ranges[i].max)
 			continue;
-		snprintf(text, sizeof(text), "%u", rows[i].value);
-		return tr_error_set(err, TR_OUT_OF_RANGE, rows[i].field, text,
-				    "expected %u to %u", rows[i].least,
-				    rows[i].most);
+		snprintf(text, sizeof(text), "%u", ranges[i].value);
+		return tr_error_set(err, TR_OUT_OF_RANGE, ranges[i].field, text,
+				    "expected %u to %u", ranges[i].min,
+				    ranges[i].max);
 	}
 	return 0;
 }
@@ -122,7 +124,7 @@
 				    s->platform, "expected http://IP:PORT");
 	if (s->port == s->operator_port)
 		return tr_error_set(err, TR_CONTRADICTION, "operator_port", "",
-				    "expected another port than port");
+				    "expected a port other than that of port");
 	if (s->log_format && strcmp(s->log_format, "json") != 0 &&
 	    strcmp(s->log_format, "text") != 0)
 		return tr_error_set(err, TR_OUT_OF_RANGE, "log_format",
@@ -131,7 +133,10 @@
 	return check_ranges(s, err);
 }
 
-/* Read and check a VM's settings. NULL and err when they are wrong. */
+/*
+ * Reads and validates the settings of a VM. Returns NULL and sets err if the
+ * file cannot be read or is invalid.
+ */
 struct settings *settings_load(const char *path, struct tr_error *err)
 {
 	struct settings *s;
@@ -174,7 +179,10 @@
 			    TR_SECRET_SIZE);
 }
 
-/* Read the fleet key, and the previous one while keys are rotated. */
+/*
+ * Reads the fleet key, and the previous one during a key rotation. Returns 0,
+ * or -1 with err set.
+ */
 int settings_load_secret(const struct settings *settings,
 			 struct tr_secret *secret, struct tr_error *err)
 {
--- a/src/settings.h
+++ b/src/settings.h
@@ -1,3 +1,4 @@
+/* The settings file of a VM. */
 #ifndef SETTINGS_H
 #define SETTINGS_H
 
@@ -8,28 +9,28 @@
 
 struct tr_error;
 
-/* The settings of one VM, read once at start. */
+/* The settings of one VM, read once at startup. */
 struct settings {
 	char *name;
-	char *address;
+	char *address; /* IPv4 */
 	char *data_centre;
 	char *region;
 	uint16_t port;
 	uint16_t peer_port;
 	uint16_t operator_port;
-	char *platform;
-	char *fleet_key;
-	char *previous_fleet_key;
+	char *platform;		  /* http://IP:PORT */
+	char *fleet_key;	  /* path of the key file */
+	char *previous_fleet_key; /* path, or NULL */
 	uint32_t keys_remembered;
 	uint32_t key_lifetime_s;
 	uint32_t answers_mb;
 	uint32_t body_buffer_kb;
 	uint32_t connections;
 	uint32_t stop_after_s;
-	int log_level;
-	bool log_json;
+	int log_level; /* an enum log_level */
+	bool log_json; /* from log_format */
 	char *log_format;
-	char **seeds;
+	char **seeds; /* operator addresses, IP:PORT */
 	unsigned seeds_count;
 };
 
--- a/src/yamlfile.c
+++ b/src/yamlfile.c
@@ -8,27 +8,27 @@
 
 #include "error.h"
 
-#define TEXT_MAX (1024 * 1024)
+#define MAX_FILE_SIZE (1024 * 1024)
 
 /*
- * What libcyaml says of an error comes as log lines: first what is wrong, then
- * where, from the innermost field outwards.
+ * Collects libcyaml's log output, its only source of details about an error:
+ * first the message, then a backtrace from the innermost field outwards.
  */
 struct capture {
 	char message[192];
-	GString *path;
-	int line;
+	GString *path; /* of the field, such as "routes[2].path" */
+	int line;      /* innermost line of the backtrace, 0 for none */
 	bool in_backtrace;
 };
 
-static void push_front(GString *path, const char *part)
+static void prepend_part(GString *path, const char *part)
 {
 	if (path->len && path->str[0] != '[')
 		g_string_prepend_c(path, '.');
 	g_string_prepend(path, part);
 }
 
-static void capture_place(struct capture *cap, const char *line)
+static void capture_location(struct capture *cap, const char *line)
 {
 	char name[96];
 	char part[112];
@@ -37,11 +37,11 @@
 
 	if (sscanf(line, " in mapping field '%95[^']' (line: %d", name, &at) >=
 	    1) {
-		push_front(cap->path, name);
+		prepend_part(cap->path, name);
 	} else if (sscanf(line, " in sequence entry '%d' (line: %d", &entry,
 			  &at) >= 1) {
 		snprintf(part, sizeof(part), "[%d]", entry - 1);
-		push_front(cap->path, part);
+		prepend_part(cap->path, part);
 	} else {
 		sscanf(line, " in mapping (line: %d", &at);
 	}
@@ -64,7 +64,7 @@
 	if (!strncmp(text, "Backtrace", 9))
 		cap->in_backtrace = true;
 	else if (cap->in_backtrace)
-		capture_place(cap, text);
+		capture_location(cap, text);
 	else if (!*cap->message)
 		g_strlcpy(cap->message, text, sizeof(cap->message));
 }
@@ -102,7 +102,7 @@
 	return node;
 }
 
-static int walk(yaml_document_t *doc, const char *path)
+static int find_line(yaml_document_t *doc, const char *path)
 {
 	yaml_node_t *node = yaml_document_get_root_node(doc);
 	int line = node ? (int)node->start_mark.line + 1 : 1;
@@ -128,8 +128,8 @@
 }
 
 /*
- * The line of a field such as "routes[2].path", or of the nearest field
- * around it that is there. 0 when the text is not YAML.
+ * Returns the line of a field such as "routes[2].path", or of the innermost
+ * enclosing field that exists. 0 if the text is not valid YAML.
  */
 int yamlfile_find_line(const char *text, size_t len, const char *path)
 {
@@ -141,7 +141,7 @@
 		return 0;
 	yaml_parser_set_input_string(&parser, (const unsigned char *)text, len);
 	if (yaml_parser_load(&parser, &doc)) {
-		line = walk(&doc, path);
+		line = find_line(&doc, path);
 		yaml_document_delete(&doc);
 	}
 	yaml_parser_delete(&parser);
@@ -183,7 +183,9 @@
 	return schema;
 }
 
-static void list_words(const struct cyaml_schema_value *schema, GString *out)
+/* Appends the values of an enum, or the field names of a mapping. */
+static void append_choices(const struct cyaml_schema_value *schema,
+			   GString *out)
 {
 	if (schema->type == CYAML_ENUM) {
 		for (uint32_t i = 0; i < schema->enumeration.count; i++)
@@ -198,9 +200,10 @@
 				       f->key);
 }
 
-static void describe(const struct cyaml_schema_value *schema, GString *out)
+static void append_expected(const struct cyaml_schema_value *schema,
+			    GString *out)
 {
-	GString *words = g_string_new(NULL);
+	GString *choices = g_string_new(NULL);
 
 	switch (schema ? schema->type : CYAML_IGNORE) {
 	case CYAML_INT:
@@ -223,16 +226,17 @@
 		g_string_append(out, "expected fields");
 		break;
 	case CYAML_ENUM:
-		list_words(schema, words);
-		g_string_append_printf(out, "expected one of %s", words->str);
+		append_choices(schema, choices);
+		g_string_append_printf(out, "expected one of %s", choices->str);
 		break;
 	default:
 		break;
 	}
-	g_string_free(words, TRUE);
+	g_string_free(choices, TRUE);
 }
 
-static void quoted(const char *message, char *value, size_t size)
+/* Copies the part of the message between its first and last single quote. */
+static void extract_quoted(const char *message, char *value, size_t size)
 {
 	const char *open = strchr(message, '\'');
 
@@ -244,42 +248,43 @@
 		*strrchr(value, '\'') = 0;
 }
 
-static void unknown_field(struct capture *cap, const char *key,
-			  const struct cyaml_schema_value *schema,
-			  struct tr_error *err)
+static void set_unknown_field_error(struct capture *cap, const char *key,
+				    const struct cyaml_schema_value *schema,
+				    struct tr_error *err)
 {
 	const struct cyaml_schema_value *at = schema_at(schema, cap->path->str);
-	GString *words = g_string_new(NULL);
+	GString *choices = g_string_new(NULL);
 
 	if (at && at->type == CYAML_MAPPING)
-		list_words(at, words);
+		append_choices(at, choices);
 	if (cap->path->len)
 		g_string_append_c(cap->path, '.');
 	g_string_append(cap->path, key);
 	tr_error_set(err, TR_UNKNOWN_FIELD, cap->path->str, "",
-		     "expected one of %s", words->str);
-	g_string_free(words, TRUE);
+		     "expected one of %s", choices->str);
+	g_string_free(choices, TRUE);
 }
 
-static void translate(struct capture *cap, cyaml_err_t code,
-		      const struct cyaml_schema_value *schema,
-		      struct tr_error *err)
+/* Sets err from what libcyaml logged and returned. */
+static void translate_error(struct capture *cap, cyaml_err_t code,
+			    const struct cyaml_schema_value *schema,
+			    struct tr_error *err)
 {
 	GString *expected = g_string_new(NULL);
 	const char *colon = strrchr(cap->message, ':');
 	const char *tail = colon ? colon + 2 : "";
 	char value[64];
 
-	quoted(cap->message, value, sizeof(value));
-	describe(schema_at(schema, cap->path->str), expected);
+	extract_quoted(cap->message, value, sizeof(value));
+	append_expected(schema_at(schema, cap->path->str), expected);
 	if (code == CYAML_ERR_INVALID_KEY)
-		unknown_field(cap, tail, schema, err);
+		set_unknown_field_error(cap, tail, schema, err);
 	else if (strstr(cap->message, "Missing required"))
 		tr_error_set(err, TR_MISSING_FIELD, tail, "",
 			     "expected it to be given");
 	else if (strstr(cap->message, "already seen"))
 		tr_error_set(err, TR_DUPLICATE, cap->path->str, "",
-			     "expected the field once");
+			     "expected the field only once");
 	else if (code == CYAML_ERR_LIBYAML_PARSER)
 		tr_error_set(err, TR_SYNTAX, cap->path->str, "",
 			     "expected YAML: %s", tail);
@@ -290,8 +295,8 @@
 }
 
 /*
- * Load YAML by a schema. NULL and err with line, field, value and what was
- * expected when it does not fit.
+ * Loads YAML by a schema. If it does not match, returns NULL and sets err with
+ * the line, the field, its value and what was expected.
  */
 void *yamlfile_load(const char *text, size_t len,
 		    const struct cyaml_schema_value *schema,
@@ -311,7 +316,7 @@
 	code = cyaml_load_data((const uint8_t *)text, len, &config, schema,
 			       &data, NULL);
 	if (code != CYAML_OK) {
-		translate(&cap, code, schema, err);
+		translate_error(&cap, code, schema, err);
 		line = yamlfile_find_line(text, len, err->field);
 		err->line = line ? line : cap.line;
 		data = NULL;
@@ -332,16 +337,19 @@
 		cyaml_free(&config, schema, data, 0);
 }
 
-/* Read a whole file, of at most a megabyte; the caller frees it. */
+/*
+ * Reads a whole file of at most MAX_FILE_SIZE bytes, which the caller frees.
+ * Returns NULL and sets err on failure.
+ */
 char *yamlfile_read(const char *path, size_t *len, struct tr_error *err)
 {
 	FILE *f = fopen(path, "rb");
-	char *text = f ? malloc(TEXT_MAX + 1) : NULL;
+	char *text = f ? malloc(MAX_FILE_SIZE + 1) : NULL;
 
 	snprintf(err->file, sizeof(err->file), "%s", path);
 	if (text) {
-		*len = fread(text, 1, TEXT_MAX + 1, f);
-		if (ferror(f) || *len > TEXT_MAX) {
+		*len = fread(text, 1, MAX_FILE_SIZE + 1, f);
+		if (ferror(f) || *len > MAX_FILE_SIZE) {
 			free(text);
 			text = NULL;
 		} else {
--- a/src/yamlfile.h
+++ b/src/yamlfile.h
@@ -1,3 +1,4 @@
+/* Loads YAML files by a libcyaml schema, with precise errors. */
 #ifndef YAMLFILE_H
 #define YAMLFILE_H
 
