--- a/src/calibration.c
+++ b/src/calibration.c
@@ -1,7 +1,8 @@
 /*
- * What is stated of targets when they are chosen, held against what happened
- * there. A chance that is stated too low sends what must run once to suspects;
- * one that is too high leaves sound targets idle and sends reads twice.
+ * Compares the probability of being gray that was predicted for a target when
+ * it was chosen with the rate of failures there. Predictions that are too low
+ * send non-retryable requests to suspect targets; ones that are too high leave
+ * healthy targets idle and send reads twice.
  */
 #include "calibration.h"
 
@@ -10,27 +11,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A row says something from so many attempts on, and is off when what happened
- * is so many times what was stated, or as much less. */
-#define TELLS_FROM 100
-#define OFF_BY	   1.5
+/* A bin with at least MIN_ATTEMPTS is miscalibrated if the rate of failures and
+ * the predicted one differ by more than a factor of MAX_RATIO. */
+#define MIN_ATTEMPTS 100
+#define MAX_RATIO    1.5
 
-/* Where the ranges begin. */
-static const double edges[CALIBRATION_BINS] = {
+/* The lower bounds of the bins. */
+static const double bin_edges[CALIBRATION_BINS] = {
 	0, 0.03, 0.05, 0.07, 0.1, 0.15, 0.2, 0.3, 0.5, 0.7,
 };
 
-static unsigned bin_of(double risk)
+static unsigned find_bin(double risk)
 {
 	unsigned i = 0;
 
-	while (i + 1 < CALIBRATION_BINS && risk >= edges[i + 1])
+	while (i + 1 < CALIBRATION_BINS && risk >= bin_edges[i + 1])
 		i++;
 	return i;
 }
 
-/* The first target's risk, as in "i-1:0.05:2,i-2:0.30:0"; false without one. */
-static bool first_risk(const char *tried, double *risk)
+/*
+ * Parses the risk of the first target in a list such as
+ * "i-1:0.05:2,i-2:0.30:0". Returns false if there is none.
+ */
+static bool parse_first_risk(const char *tried, double *risk)
 {
 	const char *colon = strchr(tried, ':');
 
@@ -43,23 +47,24 @@
 static void count_line(struct calibration *c, const struct logline *line)
 {
 	const char *tried = logline_get(line, "tried");
-	bool repeatable = !strcmp(logline_get(line, "kind"), "safe");
-	bool more = strchr(tried, ',') != NULL;
+	bool retryable = !strcmp(logline_get(line, "kind"), "safe");
+	bool resent = strchr(tried, ',') != NULL;
 	bool failed = logline_number(line, "status") >= 500;
 	struct calibration_bin *bin;
 	double risk;
 
-	/* Of what must run once only a target that ran nothing has a next. */
-	if (!first_risk(tried, &risk) || (!repeatable && more))
+	/* A non-retryable request is sent to a second target only if the first
+	 * did not run it. It is not counted. */
+	if (!parse_first_risk(tried, &risk) || (!retryable && resent))
 		return;
-	bin = repeatable ? &c->repeatable[bin_of(risk)]
-			 : &c->once[bin_of(risk)];
+	bin = retryable ? &c->retryable[find_bin(risk)]
+			: &c->non_retryable[find_bin(risk)];
 	bin->attempts++;
-	bin->stated += risk;
-	bin->wrong += failed || more;
+	bin->predicted += risk;
+	bin->failures += failed || resent;
 }
 
-/* Count all requests that had a target. */
+/* Counts the requests of the log that had a target. */
 void calibration_count(struct calibration *c, const GPtrArray *lines)
 {
 	memset(c, 0, sizeof(*c));
@@ -71,19 +76,20 @@
 	}
 }
 
-static bool is_off(const struct calibration_bin *bin)
+static bool is_miscalibrated(const struct calibration_bin *bin)
 {
-	double stated = bin->stated / bin->attempts;
-	double wrong = (double)bin->wrong / bin->attempts;
+	double predicted = bin->predicted / bin->attempts;
+	double failures = (double)bin->failures / bin->attempts;
 
-	return bin->attempts >= TELLS_FROM &&
-	       (wrong > OFF_BY * stated || wrong * OFF_BY < stated);
+	return bin->attempts >= MIN_ATTEMPTS &&
+	       (failures > MAX_RATIO * predicted ||
+		failures * MAX_RATIO < predicted);
 }
 
 static unsigned print_bins(const struct calibration_bin *bins,
 			   const char *title, FILE *out)
 {
-	unsigned off = 0;
+	unsigned miscalibrated = 0;
 
 	fprintf(out, "%s\n", title);
 	for (unsigned i = 0; i < CALIBRATION_BINS; i++) {
@@ -91,22 +97,29 @@
 
 		if (!bin->attempts)
 			continue;
-		off += is_off(bin);
+		miscalibrated += is_miscalibrated(bin);
 		fprintf(out,
-			"  from %.2f  %6u attempts  stated %.3f  went wrong %.3f%s\n",
-			edges[i], bin->attempts, bin->stated / bin->attempts,
-			(double)bin->wrong / bin->attempts,
-			is_off(bin) ? "  off" : "");
+			"  from %.2f  %6u attempts  predicted %.3f  failed %.3f%s\n",
+			bin_edges[i], bin->attempts,
+			bin->predicted / bin->attempts,
+			(double)bin->failures / bin->attempts,
+			is_miscalibrated(bin) ? "  off" : "");
 	}
-	return off;
+	return miscalibrated;
 }
 
-/* The table as text; how many rows are off. */
+/*
+ * Prints the bins that are not empty as text. Returns the number of
+ * miscalibrated ones, which are marked "off".
+ */
 unsigned calibration_print(const struct calibration *c, FILE *out)
 {
-	return print_bins(c->once, "what must run once, by its target's chance",
-			  out) +
-	       print_bins(c->repeatable,
-			  "what may be sent once more; that counts as wrong",
-			  out);
+	return print_bins(
+		       c->non_retryable,
+		       "non-retryable requests, by the predicted risk of the target",
+		       out) +
+	       print_bins(
+		       c->retryable,
+		       "retryable requests; sending one again counts as a failure",
+		       out);
 }
--- a/src/calibration.h
+++ b/src/calibration.h
@@ -1,3 +1,4 @@
+/* Compares the predicted risk of targets with their failures in the logs. */
 #ifndef CALIBRATION_H
 #define CALIBRATION_H
 
@@ -7,18 +8,19 @@
 
 #define CALIBRATION_BINS 10
 
-/* Requests whose first target was chosen with a chance of being gray in one
- * range: the sum of what was stated, and how many went wrong there. */
+/*
+ * Requests whose first target had a predicted risk, the probability of being
+ * gray, in one range.
+ */
 struct calibration_bin {
 	unsigned attempts;
-	double stated;
-	unsigned wrong;
+	double predicted;  /* sum of the predicted risks */
+	unsigned failures; /* failed, or sent again */
 };
 
-/* What must run once, and what may be sent once more. */
 struct calibration {
-	struct calibration_bin once[CALIBRATION_BINS];
-	struct calibration_bin repeatable[CALIBRATION_BINS];
+	struct calibration_bin non_retryable[CALIBRATION_BINS];
+	struct calibration_bin retryable[CALIBRATION_BINS];
 };
 
 void calibration_count(struct calibration *c, const GPtrArray *lines);
--- a/src/headers.h
+++ b/src/headers.h
@@ -1,7 +1,8 @@
+/* Names of the HTTP headers. */
 #ifndef HEADERS_H
 #define HEADERS_H
 
-/* Headers of the interface to callers; see docs/INTERFACE.md. */
+/* Between callers and the daemon, see docs/INTERFACE.md. */
 #define HEADER_SERVICE	       "Toucanreel-Service"
 #define HEADER_KEY	       "Toucanreel-Key"
 #define HEADER_DEADLINE	       "Toucanreel-Deadline-Ms"
@@ -15,7 +16,7 @@
 #define HEADER_PREFIX	       "Toucanreel-"
 #define HEADER_IDEMPOTENCY_KEY "Idempotency-Key"
 
-/* Headers between this system and targets; docs/INTERFACE.md again. */
+/* Between the daemon and targets, see docs/INTERFACE.md. */
 #define HEADER_NOT_RUN	       "X-Not-Run"
 #define HEADER_LOAD	       "X-Load"
 #define HEADER_TARGET_STATE    "X-Target-State"
--- a/src/health.c
+++ b/src/health.c
@@ -1,6 +1,7 @@
 /*
- * Health probes, for the baseline that believes in them. A probe costs a
- * target about 25 ms, and the product's own detector needs none.
+ * Active health checks for the "health" detector, a baseline that is compared
+ * with the default one. A probe costs a target about 25 ms; the default
+ * detector needs none.
  */
 #include "health.h"
 
@@ -29,7 +30,7 @@
 	uint32_t target;
 };
 
-static void forget(struct probe *probe)
+static void remove_probe(struct probe *probe)
 {
 	struct probe **at = &probe->health->probes;
 
@@ -40,7 +41,7 @@
 	free(probe);
 }
 
-static void probed(void *ctx, const struct fetch_response *answer)
+static void on_probe_response(void *ctx, const struct fetch_response *answer)
 {
 	struct probe *probe = ctx;
 	struct tr_board *board = probe->health->board;
@@ -51,11 +52,11 @@
 	if (target && svc->detector)
 		svc->detector->health(board, svc, target, answer->status == 200,
 				      tr_clock_now(&board->clock));
-	forget(probe);
+	remove_probe(probe);
 }
 
-static void start(struct health *health, const struct tr_service *svc,
-		  const struct tr_target *target)
+static void start_probe(struct health *health, const struct tr_service *svc,
+			const struct tr_target *target)
 {
 	struct probe *probe = calloc(1, sizeof(*probe));
 	char url[128];
@@ -69,12 +70,15 @@
 	health->probes = probe;
 	snprintf(url, sizeof(url), "http://%s%s", target->address, PROBE_PATH);
 	probe->fetch = client_fetch(health->client, url, NULL, PROBE_TIMEOUT,
-				    probed, probe);
+				    on_probe_response, probe);
 	if (!probe->fetch)
-		forget(probe);
+		remove_probe(probe);
 }
 
-/* Probe what is due; call a few times a second. */
+/*
+ * Probes all targets of the services that use health checks, once a
+ * PROBE_PERIOD. To be called several times a second.
+ */
 void health_step(struct health *health)
 {
 	apr_time_t now = tr_clock_now(&health->board->clock);
@@ -90,7 +94,7 @@
 			continue;
 		for (unsigned i = 0; i < svc->targets_count; i++)
 			if (svc->targets[i].listed)
-				start(health, svc, &svc->targets[i]);
+				start_probe(health, svc, &svc->targets[i]);
 	}
 }
 
@@ -109,7 +113,7 @@
 {
 	while (health->probes) {
 		client_fetch_cancel(health->client, health->probes->fetch);
-		forget(health->probes);
+		remove_probe(health->probes);
 	}
 	free(health);
 }
--- a/src/health.h
+++ b/src/health.h
@@ -1,3 +1,4 @@
+/* Health probes over HTTP, for services that use the "health" detector. */
 #ifndef HEALTH_H
 #define HEALTH_H
 
--- a/src/log.c
+++ b/src/log.c
@@ -1,3 +1,4 @@
+/* Writes log lines to standard error, as text or JSON. */
 #include "log.h"
 
 #include <glib.h>
@@ -12,9 +13,9 @@
 	enum log_level level;
 	bool json;
 	const char *process;
-} setup = { LOG_LEVEL_INFO, false, "toucanreel" };
+} log_config = { LOG_LEVEL_INFO, false, "toucanreel" };
 
-static const char *const level_words[] = { "error", "warning", "info",
+static const char *const level_names[] = { "error", "warning", "info",
 					   "debug" };
 
 static const GLogLevelFlags glib_levels[] = {
@@ -24,7 +25,7 @@
 	G_LOG_LEVEL_DEBUG,
 };
 
-static const char *field(const GLogField *fields, gsize n, const char *key)
+static const char *get_field(const GLogField *fields, gsize n, const char *key)
 {
 	for (gsize i = 0; i < n; i++)
 		if (!g_strcmp0(fields[i].key, key))
@@ -32,7 +33,7 @@
 	return "";
 }
 
-static void stamp(char *buf, size_t size)
+static void format_time(char *buf, size_t size)
 {
 	struct timespec now;
 	struct tm tm;
@@ -47,55 +48,59 @@
 static void write_json(const char *when, const char *level, const char *module,
 		       const char *message)
 {
-	auto_json json_t *line = json_pack(
-		"{s:s, s:s, s:s, s:s, s:s}", "time", when, "level", level,
-		"process", setup.process, "module", module, "message", message);
+	auto_json json_t *line =
+		json_pack("{s:s, s:s, s:s, s:s, s:s}", "time", when, "level",
+			  level, "process", log_config.process, "module",
+			  module, "message", message);
 	auto_free char *text = line ? json_dumps(line, JSON_COMPACT) : NULL;
 
 	if (text)
 		fprintf(stderr, "%s\n", text);
 }
 
-static GLogWriterOutput writer(GLogLevelFlags level, const GLogField *fields,
-			       gsize n, gpointer ctx)
+static GLogWriterOutput write_log(GLogLevelFlags level, const GLogField *fields,
+				  gsize n, gpointer ctx)
 {
-	const char *word = field(fields, n, "TR_LEVEL");
-	const char *module = field(fields, n, "TR_MODULE");
-	const char *message = field(fields, n, "MESSAGE");
+	const char *level_name = get_field(fields, n, "TR_LEVEL");
+	const char *module = get_field(fields, n, "TR_MODULE");
+	const char *message = get_field(fields, n, "MESSAGE");
 	char when[40];
 
 	(void)level;
 	(void)ctx;
-	stamp(when, sizeof(when));
-	if (setup.json)
-		write_json(when, word, module, message);
+	format_time(when, sizeof(when));
+	if (log_config.json)
+		write_json(when, level_name, module, message);
 	else
-		fprintf(stderr, "%s %-7s %s %s: %s\n", when, word,
-			setup.process, module, message);
+		fprintf(stderr, "%s %-7s %s %s: %s\n", when, level_name,
+			log_config.process, module, message);
 	return G_LOG_WRITER_HANDLED;
 }
 
-/* Send the log to standard error, as text or as JSON lines. */
+/* Sets the level, the format and the process name of the log. */
 void log_setup(enum log_level level, bool json, const char *process)
 {
-	setup.level = level;
-	setup.json = json;
-	setup.process = process;
-	g_log_set_writer_func(writer, NULL, NULL);
+	log_config.level = level;
+	log_config.json = json;
+	log_config.process = process;
+	g_log_set_writer_func(write_log, NULL, NULL);
 }
 
-/* Log one message of a module. Use the macros of log.h. */
+/*
+ * Logs a message of at most 511 bytes; longer ones are truncated. To be called
+ * through the macros of log.h.
+ */
 void log_write(enum log_level level, const char *module, const char *fmt, ...)
 {
 	char message[512];
 	va_list ap;
 
-	if (level > setup.level)
+	if (level > log_config.level)
 		return;
 	va_start(ap, fmt);
 	vsnprintf(message, sizeof(message), fmt, ap);
 	va_end(ap);
 	g_log_structured("toucanreel", glib_levels[level], "TR_LEVEL",
-			 level_words[level], "TR_MODULE", module, "MESSAGE",
+			 level_names[level], "TR_MODULE", module, "MESSAGE",
 			 "%s", message);
 }
--- a/src/log.h
+++ b/src/log.h
@@ -1,3 +1,4 @@
+/* Logging through GLib, with a level and the name of the module. */
 #ifndef LOG_H
 #define LOG_H
 
--- a/src/loop.c
+++ b/src/loop.c
@@ -1,3 +1,4 @@
+/* The event loop: an APR pollset and a sorted sequence of timers. */
 #include "loop.h"
 
 #include <apr_network_io.h>
@@ -11,10 +12,10 @@
 #include <time.h>
 #include <unistd.h>
 
-#define MAX_FDS	      65536
-#define POLLSET_SIZE  1024
-#define MAX_HOOKS     8
-#define LONGEST_SLEEP TR_SEC(1)
+#define MAX_FDS	     65536
+#define POLLSET_SIZE 1024
+#define MAX_HOOKS    8
+#define MAX_SLEEP    TR_SEC(1)
 
 struct watch {
 	apr_pollfd_t pfd;
@@ -26,13 +27,13 @@
 
 struct loop_timer {
 	apr_time_t at;
-	uint64_t order;
+	uint64_t seq; /* order of timers that are due at the same time */
 	loop_fn fn;
 	void *ctx;
 	GSequenceIter *iter;
 };
 
-struct hook {
+struct callback {
 	loop_fn fn;
 	void *ctx;
 };
@@ -42,18 +43,18 @@
 	apr_pollset_t *pollset;
 	struct watch **watches;
 	GSequence *timers;
-	uint64_t timers_made;
-	struct hook hooks[MAX_HOOKS];
+	uint64_t next_timer_seq;
+	struct callback hooks[MAX_HOOKS];
 	int hooks_count;
-	struct hook on_signal;
-	struct hook on_hangup;
+	struct callback on_terminate;
+	struct callback on_hangup;
 	int signal_fd;
 	bool running;
 	struct tr_clock clock;
 };
 
-/* CLOCK_BOOTTIME goes on while the process or the whole VM is paused. */
-static apr_time_t now_of(void *ctx)
+/* CLOCK_BOOTTIME, because it advances while the process or VM is paused. */
+static apr_time_t read_clock(void *ctx)
 {
 	struct timespec ts;
 
@@ -62,7 +63,7 @@
 	return (apr_time_t)ts.tv_sec * APR_USEC_PER_SEC + ts.tv_nsec / 1000;
 }
 
-/* Wall time in microseconds, for the time line only; decides nothing. */
+/* Wall time in microseconds. For the timeline only, never for decisions. */
 uint64_t loop_wall_time(void *ctx)
 {
 	(void)ctx;
@@ -77,10 +78,10 @@
 	(void)ctx;
 	if (x->at != y->at)
 		return x->at < y->at ? -1 : 1;
-	return x->order < y->order ? -1 : x->order > y->order;
+	return x->seq < y->seq ? -1 : x->seq > y->seq;
 }
 
-/* A loop in the pool, or NULL. */
+/* Creates a loop whose memory comes from the pool. NULL on failure. */
 struct loop *loop_new(apr_pool_t *pool)
 {
 	struct loop *loop = apr_pcalloc(pool, sizeof(*loop));
@@ -91,7 +92,7 @@
 	loop->pool = pool;
 	loop->watches = calloc(MAX_FDS, sizeof(*loop->watches));
 	loop->timers = g_sequence_new(NULL);
-	loop->clock.now = now_of;
+	loop->clock.now = read_clock;
 	loop->signal_fd = -1;
 	return loop->watches ? loop : NULL;
 }
@@ -116,8 +117,11 @@
 	return &loop->clock;
 }
 
-/* The socket object of a number is made once and serves whoever has it. */
-static struct watch *watch_of(struct loop *loop, int fd)
+/*
+ * Returns the watch of a descriptor number. It and its APR socket are created
+ * once and reused for later descriptors with the same number.
+ */
+static struct watch *get_watch(struct loop *loop, int fd)
 {
 	struct watch *w;
 
@@ -137,10 +141,13 @@
 	return w;
 }
 
-/* Call fn when fd is ready; a second call changes what is waited for. */
+/*
+ * Calls fn whenever fd is ready for one of the events. A second call replaces
+ * the events and fn. Returns 0 or -1.
+ */
 int loop_watch(struct loop *loop, int fd, int events, loop_fd_fn fn, void *ctx)
 {
-	struct watch *w = watch_of(loop, fd);
+	struct watch *w = get_watch(loop, fd);
 
 	if (!w)
 		return -1;
@@ -170,7 +177,7 @@
 	w->active = false;
 }
 
-/* Call fn once after delay microseconds. */
+/* Calls fn once, after delay microseconds. */
 struct loop_timer *loop_add_timer(struct loop *loop, apr_time_t delay,
 				  loop_fn fn, void *ctx)
 {
@@ -179,7 +186,7 @@
 	if (!t)
 		return NULL;
 	t->at = tr_clock_now(&loop->clock) + delay;
-	t->order = loop->timers_made++;
+	t->seq = loop->next_timer_seq++;
 	t->fn = fn;
 	t->ctx = ctx;
 	t->iter =
@@ -196,11 +203,11 @@
 	free(timer);
 }
 
-/* Call fn before each wait, for libraries that queue work of their own. */
+/* Calls fn before each poll, for libraries that have a queue of their own. */
 void loop_before_poll(struct loop *loop, loop_fn fn, void *ctx)
 {
 	if (loop->hooks_count < MAX_HOOKS)
-		loop->hooks[loop->hooks_count++] = (struct hook){ fn, ctx };
+		loop->hooks[loop->hooks_count++] = (struct callback){ fn, ctx };
 }
 
 static void run_timers(struct loop *loop)
@@ -210,44 +217,44 @@
 	for (;;) {
 		GSequenceIter *it = g_sequence_get_begin_iter(loop->timers);
 		struct loop_timer *t;
-		struct hook call;
+		struct callback call;
 
 		if (g_sequence_iter_is_end(it))
 			return;
 		t = g_sequence_get(it);
 		if (t->at > now)
 			return;
-		call = (struct hook){ t->fn, t->ctx };
+		call = (struct callback){ t->fn, t->ctx };
 		g_sequence_remove(it);
 		free(t);
 		call.fn(call.ctx);
 	}
 }
 
-static apr_time_t sleep_time(const struct loop *loop)
+static apr_time_t poll_timeout(const struct loop *loop)
 {
 	GSequenceIter *it = g_sequence_get_begin_iter(loop->timers);
 	apr_time_t left;
 
 	if (g_sequence_iter_is_end(it))
-		return LONGEST_SLEEP;
+		return MAX_SLEEP;
 	left = ((struct loop_timer *)g_sequence_get(it))->at -
 	       tr_clock_now(&loop->clock);
 	if (left <= 0)
 		return 0;
-	/* APR waits in whole milliseconds, rounded down: round up here, or
-	 * the last part of each wait is spent spinning. */
+	/* APR rounds the timeout down to whole milliseconds. Round it up here,
+	 * or the loop would spin for the last part of each wait. */
 	left = (left + 999) / 1000 * 1000;
-	return left < LONGEST_SLEEP ? left : LONGEST_SLEEP;
+	return left < MAX_SLEEP ? left : MAX_SLEEP;
 }
 
-static void run_ready(struct loop *loop)
+static void poll_and_dispatch(struct loop *loop)
 {
 	const apr_pollfd_t *ready = NULL;
 	apr_int32_t n = 0;
 	apr_status_t rv;
 
-	rv = apr_pollset_poll(loop->pollset, sleep_time(loop), &n, &ready);
+	rv = apr_pollset_poll(loop->pollset, poll_timeout(loop), &n, &ready);
 	if (rv != APR_SUCCESS)
 		return;
 	for (apr_int32_t i = 0; i < n; i++) {
@@ -268,7 +275,7 @@
 	}
 }
 
-/* Run until loop_stop. */
+/* Runs until loop_stop. */
 void loop_run(struct loop *loop)
 {
 	loop->running = true;
@@ -277,7 +284,7 @@
 		for (int i = 0; i < loop->hooks_count; i++)
 			loop->hooks[i].fn(loop->hooks[i].ctx);
 		if (loop->running)
-			run_ready(loop);
+			poll_and_dispatch(loop);
 	}
 }
 
@@ -286,7 +293,7 @@
 	loop->running = false;
 }
 
-static void signal_ready(void *ctx, int fd, int events)
+static void on_signal_readable(void *ctx, int fd, int events)
 {
 	struct loop *loop = ctx;
 	struct signalfd_siginfo info;
@@ -297,17 +304,16 @@
 	if (info.ssi_signo == SIGHUP)
 		loop->on_hangup.fn(loop->on_hangup.ctx);
 	else
-		loop->on_signal.fn(loop->on_signal.ctx);
+		loop->on_terminate.fn(loop->on_terminate.ctx);
 }
 
-/* Call fn for each SIGHUP, from the loop; to be said before loop_on_terminate.
- */
+/* Calls fn from the loop on SIGHUP. Must be set before loop_on_terminate. */
 void loop_on_hangup(struct loop *loop, loop_fn fn, void *ctx)
 {
-	loop->on_hangup = (struct hook){ fn, ctx };
+	loop->on_hangup = (struct callback){ fn, ctx };
 }
 
-/* Call fn for each SIGTERM or SIGINT, from the loop. */
+/* Calls fn from the loop on SIGTERM or SIGINT. Ignores SIGPIPE. */
 void loop_on_terminate(struct loop *loop, loop_fn fn, void *ctx)
 {
 	sigset_t set;
@@ -319,9 +325,9 @@
 	if (loop->on_hangup.fn)
 		sigaddset(&set, SIGHUP);
 	sigprocmask(SIG_BLOCK, &set, NULL);
-	loop->on_signal = (struct hook){ fn, ctx };
+	loop->on_terminate = (struct callback){ fn, ctx };
 	loop->signal_fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
 	if (loop->signal_fd >= 0)
-		loop_watch(loop, loop->signal_fd, LOOP_READ, signal_ready,
+		loop_watch(loop, loop->signal_fd, LOOP_READ, on_signal_readable,
 			   loop);
 }
--- a/src/loop.h
+++ b/src/loop.h
@@ -1,3 +1,4 @@
+/* A single-threaded event loop: descriptors, timers and signals. */
 #ifndef LOOP_H
 #define LOOP_H
 
@@ -10,6 +11,7 @@
 struct loop;
 struct loop_timer;
 
+/* Events of a descriptor. */
 #define LOOP_READ  1
 #define LOOP_WRITE 2
 
--- a/tests/calibration_test.cc
+++ b/tests/calibration_test.cc
@@ -42,22 +42,22 @@
 	}
 };
 
-TEST_F(Calibration, WhatWasStatedStandsBesideWhatHappened)
+TEST_F(Calibration, PredictedRisksAndFailuresAreCounted)
 {
 	for (int i = 0; i < 200; i++)
 		request("unsafe", i % 10 ? 200 : 500, "i-1:0.10:2");
 	request("upload", 502, "i-2:0.60:0");
 	count();
-	EXPECT_EQ(c.once[4].attempts, 200u);
-	EXPECT_NEAR(c.once[4].stated, 20, 1e-6);
-	EXPECT_EQ(c.once[4].wrong, 20u);
-	EXPECT_EQ(c.once[8].wrong, 1u);
+	EXPECT_EQ(c.non_retryable[4].attempts, 200u);
+	EXPECT_NEAR(c.non_retryable[4].predicted, 20, 1e-6);
+	EXPECT_EQ(c.non_retryable[4].failures, 20u);
+	EXPECT_EQ(c.non_retryable[8].failures, 1u);
 	unsigned off;
 	EXPECT_EQ(printed(&off).find("off"), std::string::npos);
 	EXPECT_EQ(off, 0u);
 }
 
-TEST_F(Calibration, ARowThatIsOffIsMarked)
+TEST_F(Calibration, AMiscalibratedBinIsMarked)
 {
 	for (int i = 0; i < 200; i++)
 		request("unsafe", i % 2 ? 200 : 500, "i-1:0.10:2");
@@ -67,7 +67,7 @@
 	EXPECT_EQ(off, 1u);
 }
 
-/* A read that was sent twice went wrong at its first target. */
+/* A read that was sent twice counts as a failure of its first target. */
 TEST_F(Calibration, ASecondSendCountsAgainstTheFirstTarget)
 {
 	request("safe", 200, "i-1:0.40:2,i-2:0.03:0");
@@ -75,9 +75,9 @@
 	request("unsafe", 200, "i-1:0.40:2,i-2:0.03:0");
 	request("safe", 503, "");
 	count();
-	EXPECT_EQ(c.repeatable[7].attempts, 2u);
-	EXPECT_EQ(c.repeatable[7].wrong, 1u);
-	EXPECT_EQ(c.once[7].attempts, 0u);
+	EXPECT_EQ(c.retryable[7].attempts, 2u);
+	EXPECT_EQ(c.retryable[7].failures, 1u);
+	EXPECT_EQ(c.non_retryable[7].attempts, 0u);
 }
 
 } // namespace
--- a/tests/codec_test.cc
+++ b/tests/codec_test.cc
@@ -45,7 +45,7 @@
 		memset(secret.bytes, 3, sizeof(secret.bytes));
 	}
 
-	/* The body as a receiver finds it in the RPC call. */
+	/* Returns the body of the RPC call in buf and checks its MAC. */
 	std::string body(size_t len)
 	{
 		wire_envelope env{};
@@ -117,9 +117,8 @@
 }
 
 /*
- * Symptom: anybody on the network ejects targets.
- * Sequence: a datagram is changed, or made under another key.
- * Cause: datagrams are believed unread.
+ * If the MAC were not verified, anyone on the network could eject targets with
+ * a modified datagram or one made under another key.
  */
 TEST_F(Codec, OtherKeysAndChangedBytesFailTheMac)
 {
