--- a/src/config_read.c
+++ b/src/config_read.c
@@ -109,11 +109,12 @@
 	       tr_random_below(&config->board->random, 500) * (wait / 1000);
 }
 
-static void on_platform_response(void *ctx, const struct fetch_response *answer)
+static void on_platform_response(void *ctx,
+				 const struct fetch_response *response)
 {
 	struct fetcher *fetcher = ctx;
 	struct config *config = fetcher->config;
-	bool ok = answer->status == 200 || answer->status == 404;
+	bool ok = response->status == 200 || response->status == 404;
 
 	fetcher->fetch = NULL;
 	fetcher->next_at = config_now(config) + fetcher->period;
@@ -129,8 +130,8 @@
 	set_platform_up(config, true);
 	/* An index that decreases means that the platform was restored from a
 	 * backup; its protocol asks to reset the index to 0 then. */
-	fetcher->index = answer->index < fetcher->index ? 0 : answer->index;
-	apply_kv_entries(config, fetcher->svc, answer->body, answer->len);
+	fetcher->index = response->index < fetcher->index ? 0 : response->index;
+	apply_kv_entries(config, fetcher->svc, response->body, response->len);
 	if (fetcher->svc && !fetcher->svc->document) {
 		fetcher->svc->platform_has_none = true;
 		fetcher->svc->needed_until =
@@ -165,17 +166,17 @@
 }
 
 static int verify_mac(const struct config *config,
-		      const struct fetch_response *answer)
+		      const struct fetch_response *response)
 {
 	unsigned char mac[TR_MAC_SIZE];
 	size_t len = 0;
 
-	if (sodium_hex2bin(mac, sizeof(mac), answer->mac, strlen(answer->mac),
-			   NULL, &len, NULL) ||
+	if (sodium_hex2bin(mac, sizeof(mac), response->mac,
+			   strlen(response->mac), NULL, &len, NULL) ||
 	    len != sizeof(mac))
 		return -1;
-	return tr_mac_check(config->options.secret, answer->body, answer->len,
-			    mac);
+	return tr_mac_check(config->options.secret, response->body,
+			    response->len, mac);
 }
 
 static void apply_from_json(struct config *config, struct tr_service *svc,
@@ -197,7 +198,7 @@
 		config_apply_targets(config, svc, revision, text, len, "peer");
 }
 
-static void on_pull_response(void *ctx, const struct fetch_response *answer)
+static void on_pull_response(void *ctx, const struct fetch_response *response)
 {
 	struct fetcher *fetcher = ctx;
 	struct config *config = fetcher->config;
@@ -205,9 +206,9 @@
 
 	fetcher->fetch = NULL;
 	fetcher->next_at = config_now(config) + RETRY_DELAY / 2;
-	if (answer->status != 200 || verify_mac(config, answer))
+	if (response->status != 200 || verify_mac(config, response))
 		return;
-	root = json_loadb(answer->body, answer->len, 0, NULL);
+	root = json_loadb(response->body, response->len, 0, NULL);
 	if (!root)
 		return;
 	if (fetcher->svc) {
@@ -267,14 +268,14 @@
 				    const struct tr_service *svc)
 {
 	uint64_t salt = tr_hash_pair(svc->id, 1);
-	uint64_t mine = tr_hash_pair(salt, config->board->vm_id);
+	uint64_t own_weight = tr_hash_pair(salt, config->board->vm_id);
 	unsigned n = 0;
 
 	for (unsigned i = 0; i < svc->peers_count; i++) {
 		const struct tr_peer *peer = &svc->peers[i];
 
 		n += peer->in_cell && peer->up && !peer->leaving &&
-		     tr_hash_pair(salt, peer->vm_id) > mine;
+		     tr_hash_pair(salt, peer->vm_id) > own_weight;
 	}
 	return n;
 }
@@ -291,7 +292,7 @@
 {
 	const struct tr_board *board = config->board;
 	uint64_t salt = tr_hash_string(VM_LIST_RESOURCE);
-	uint64_t mine = tr_hash_pair(salt, board->vm_id);
+	uint64_t own_weight = tr_hash_pair(salt, board->vm_id);
 	unsigned n = 0;
 
 	for (size_t i = 0; i < board->fleet.count; i++) {
@@ -299,7 +300,7 @@
 
 		n += !vm->leaving &&
 		     !strcmp(vm->data_centre, board->data_centre) &&
-		     tr_hash_pair(salt, vm->id) > mine;
+		     tr_hash_pair(salt, vm->id) > own_weight;
 	}
 	return n < VM_LIST_WATCHERS;
 }
--- a/src/gather.c
+++ b/src/gather.c
@@ -13,19 +13,19 @@
 
 struct gather {
 	struct loop *loop;
-	json_t *answers;
+	json_t *responses;
 	unsigned pending;
 };
 
-static void on_response(void *ctx, const struct fetch_response *answer)
+static void on_response(void *ctx, const struct fetch_response *response)
 {
 	struct gather *all = ctx;
 	json_t *root = NULL;
 
-	if (answer->status == 200)
-		root = json_loadb(answer->body, answer->len, 0, NULL);
+	if (response->status == 200)
+		root = json_loadb(response->body, response->len, 0, NULL);
 	if (root)
-		json_array_append_new(all->answers, root);
+		json_array_append_new(all->responses, root);
 	if (--all->pending == 0)
 		loop_stop(all->loop);
 }
@@ -45,7 +45,7 @@
 			all.pending++;
 	if (all.pending)
 		loop_run(loop);
-	return all.answers;
+	return all.responses;
 }
 
 /* Fetches the list of VMs from one VM's operator port. NULL on failure. */
@@ -54,12 +54,12 @@
 {
 	char url[URL_SIZE];
 	const char *urls[1] = { url };
-	auto_json json_t *answers = NULL;
+	auto_json json_t *responses = NULL;
 	json_t *value;
 
 	snprintf(url, sizeof(url), "http://%s/peer/v1/vms", vm);
-	answers = gather_json(loop, client, urls, 1);
-	value = json_object_get(json_array_get(answers, 0), "vms");
+	responses = gather_json(loop, client, urls, 1);
+	value = json_object_get(json_array_get(responses, 0), "vms");
 	if (!json_string_value(json_object_get(value, "text")))
 		return NULL;
 	return json_loads(json_string_value(json_object_get(value, "text")), 0,
@@ -78,7 +78,7 @@
 	size_t n = json_array_size(vms);
 	char *text = calloc(n + 1, URL_SIZE);
 	const char **urls = calloc(n + 1, sizeof(*urls));
-	json_t *answers = NULL;
+	json_t *responses = NULL;
 	size_t i;
 	json_t *row;
 
@@ -95,9 +95,9 @@
 				 path);
 			urls[i] = url;
 		}
-		answers = gather_json(loop, client, urls, (unsigned)n);
+		responses = gather_json(loop, client, urls, (unsigned)n);
 	}
 	free(urls);
 	free(text);
-	return answers;
+	return responses;
 }
--- a/src/health.c
+++ b/src/health.c
@@ -41,7 +41,7 @@
 	free(probe);
 }
 
-static void on_probe_response(void *ctx, const struct fetch_response *answer)
+static void on_probe_response(void *ctx, const struct fetch_response *response)
 {
 	struct probe *probe = ctx;
 	struct tr_board *board = probe->health->board;
@@ -50,7 +50,8 @@
 		svc ? tr_service_target(svc, probe->target) : NULL;
 
 	if (target && svc->detector)
-		svc->detector->health(board, svc, target, answer->status == 200,
+		svc->detector->health(board, svc, target,
+				      response->status == 200,
 				      tr_clock_now(&board->clock));
 	remove_probe(probe);
 }
