--- a/src/message.x
+++ b/src/message.x
@@ -7,7 +7,7 @@
 const WIRE_MAX_BODY = 1100;
 const WIRE_MAX_NAME = 47;
 
-/* Running totals of the sender's outcomes at one target. */
+/* Running totals of the outcomes that the sender saw at one target. */
 struct wire_row {
 	unsigned int target;
 	unsigned int well;
@@ -15,7 +15,7 @@
 	unsigned int bad_run;
 };
 
-/* An order of the service's owner for one target. */
+/* An order from the owner of the service for one target. */
 struct wire_order {
 	unsigned int target;
 	unsigned int kind;
