--- a/fuzz/fuzz_datagram.c
+++ b/fuzz/fuzz_datagram.c
@@ -1,4 +1,4 @@
-/* libFuzzer: any bytes as the body of a peer's datagram. */
+/* libFuzzer target for the decoder of peer datagrams. */
 #include <stdint.h>
 
 #include "codec.h"
@@ -12,7 +12,7 @@
 	struct tr_secret secret = { 0 };
 	char buf[CODEC_MAX_DATAGRAM];
 
-	/* What was read can be written again, and is short enough. */
+	/* A decoded message must encode again within CODEC_MAX_DATAGRAM bytes. */
 	if (codec_decode_body((const char *)data, len, &msg) == TR_OK &&
 	    codec_encode(&msg, &secret, buf) > CODEC_MAX_DATAGRAM)
 		__builtin_trap();
--- a/fuzz/fuzz_document.c
+++ b/fuzz/fuzz_document.c
@@ -1,4 +1,4 @@
-/* libFuzzer: any bytes as a team's document. */
+/* libFuzzer target for the parser of service documents. */
 #include <stdint.h>
 
 #include "docfile.h"
--- a/fuzz/fuzz_store.c
+++ b/fuzz/fuzz_store.c
@@ -1,5 +1,6 @@
-/* What a platform's store may answer: pages, targets, configurations; and what
- * stands on a connection. The first byte chooses the reader. */
+/* libFuzzer target for the parsers of store responses (pages, targets,
+ * configurations) and of HTTP messages. The first input byte selects the
+ * parser. */
 #include <stddef.h>
 #include <stdint.h>
 #include <stdlib.h>
@@ -20,7 +21,7 @@
 	store_page_clear(&page);
 }
 
-static void read_values(char *text, size_t len)
+static void parse_values(char *text, size_t len)
 {
 	struct store_item item = { "servers/i-1", text, len, 1, false };
 	struct tr_target_record record;
@@ -30,7 +31,7 @@
 	tr_routes_unref(platform_dialect.parse_routes(&item, &err));
 }
 
-/* What a target says of itself: every number that is given can be used. */
+/* Numbers in a notice must be non-negative, and the limit below 1e33. */
 static void parse_notice(const struct message *msg)
 {
 	struct tr_notice notice;
@@ -40,7 +41,7 @@
 		abort();
 }
 
-static void read_message(enum http_parser_type type, const char *text,
+static void parse_messages(enum http_parser_type type, const char *text,
 			 size_t len)
 {
 	struct message msg;
@@ -74,13 +75,13 @@
 		parse_page(text, size - 1);
 		break;
 	case 1:
-		read_values(text, size - 1);
+		parse_values(text, size - 1);
 		break;
 	case 2:
-		read_message(HTTP_REQUEST, text, size - 1);
+		parse_messages(HTTP_REQUEST, text, size - 1);
 		break;
 	default:
-		read_message(HTTP_RESPONSE, text, size - 1);
+		parse_messages(HTTP_RESPONSE, text, size - 1);
 		break;
 	}
 	g_free(text);
