--- a/models/config.pml
+++ b/models/config.pml
@@ -1,22 +1,23 @@
 /*
- * Configuration that never goes back: a platform whose copies may be stale or
- * absent for each reader, two VMs that tell each other what they hold, and that
- * are replaced, with all memory gone, at any step. A VM serves only once its
- * revision is confirmed. models/README.md maps the steps to functions.
+ * Monotonic configuration: no VM returns to an older revision. The platform may
+ * give each reader a stale copy or none. Two VMs exchange their revisions, and
+ * either may be replaced and lose all its state at any step. A VM serves only
+ * once its revision is confirmed. models/README.md maps the steps to functions.
  */
 #define NEWEST 3
 #define VMS 2
 
 byte published = 1;
-byte held[VMS];			/* revision in force, 0: none yet */
+byte held[VMS];			/* revision in force; 0: none yet */
 bool confirmed[VMS];
-bool alone[VMS];		/* serves unconfirmed, and says so */
+bool alone[VMS];		/* serves unconfirmed and reports so */
 byte lives = 0;
-byte floor_revision = 0;	/* highest that was in force everywhere */
+byte floor_revision = 0;	/* highest revision in force everywhere */
 
 /*
- * What a VM tells the other, delayed at will: its revision, whether that is
- * confirmed, which life of the receiver it has heard, and its own life.
+ * A message to the other VM, delayed arbitrarily: the sender's revision, whether
+ * that is confirmed, the last incarnation of the receiver that the sender heard
+ * from, and the sender's own incarnation.
  */
 chan wire[VMS] = [1] of { byte, bool, byte, byte };
 byte life[VMS] = 1;
@@ -53,7 +54,7 @@
 	bool c;
 
 	end: do
-	/* Read the platform: any published copy, old ones too. */
+	/* Read the platform: any published revision, also an old one. */
 	:: atomic { r = 1;
 		do
 		:: r < published -> r++
@@ -61,10 +62,10 @@
 		od;
 		take(i, r);
 		note() }
-	/* Tell the other. */
+	/* Send to the other VM. */
 	:: atomic { held[i] > 0 && nfull(wire[1 - i]) ->
 		wire[1 - i] ! held[i], confirmed[i], heard_life[i], life[i] }
-	/* Hear the other. */
+	/* Receive from the other VM. */
 	:: atomic { wire[i] ? r, c, to, from ->
 		heard_life[i] = from;
 		take(i, r);
@@ -84,12 +85,12 @@
 #ifdef NO_CONFIRM
 	:: atomic { held[i] > 0 -> confirmed[i] = true; note() }
 #endif
-	/* Both are new and have heard each other: nobody has a memory. */
+	/* Both are new and hold the same revision: no older state exists. */
 	:: atomic { held[i] > 0 && held[1 - i] == held[i] &&
 		!confirmed[0] && !confirmed[1] && floor_revision == 0 ->
 		confirmed[i] = true;
 		note() }
-	/* Replaced: all memory is gone; the other is not, at that moment. */
+	/* Replaced with all state lost, while the other VM is not. */
 	:: atomic { lives < 2 && confirmed[1 - i] && !alone[1 - i] ->
 		lives++;
 		life[i]++;
@@ -107,7 +108,7 @@
 	od
 }
 
-/* Enabled at every state, so it looks at all of them. */
+/* Enabled in every state, so the assertion is checked in all of them. */
 active proctype watch()
 {
 	end: assert((!confirmed[0] || held[0] >= floor_revision) &&
--- a/models/floor.pml
+++ b/models/floor.pml
@@ -1,30 +1,30 @@
 /*
  * The ejection budget: three VMs, of which two can become the owner by two
- * votes, and a budget of one target; owner o ejects target o + 1. Times are
- * kept as what is left of them, 0 to TTL, and one step of time lowers all: so
- * the run has no horizon. A vote counts from the time of the owner's that it
- * echoes; an order lies about for as long as it likes. A pause is a VM that
- * takes no step while time goes on; a VM restarts with all memory gone. A vote
- * that arrives late is an owner that acts late. models/README.md maps the steps
- * to functions.
+ * votes, and a budget of one target; owner o ejects target o + 1. Timers hold
+ * the time left, 0 to TTL, and one time step decrements all of them, so
+ * runs of any length are covered. A vote is valid from the owner's timestamp that it echoes;
+ * an order may be delayed arbitrarily. A paused VM takes no step while time
+ * passes; a restarted VM has lost all its state. A vote that arrives late is
+ * modelled as an owner that acts late. models/README.md maps the steps to
+ * functions.
  */
 #define TTL 2
 #define RESTARTS 1
 
 byte restarts = 0;
-byte vote_for[3];		/* 1 + owner, 0: nobody */
+byte vote_for[3];		/* 1 + owner; 0: none */
 byte vote_left[3];
-byte silent_left;		/* VM 2 gives no vote for so long after a restart */
-byte count_left[6];		/* [owner * 3 + voter], at the owner */
-byte beat_left[2];		/* since the owner last stepped and sent: TTL less */
+byte silent_left;		/* time after a restart in which VM 2 must not vote */
+byte count_left[6];		/* votes counted by the owner: [owner * 3 + voter] */
+byte beat_left[2];		/* TTL minus the time since the owner last acted and sent */
 bool owner[2];
-byte wait_left[2];		/* until the first order of a new owner */
+byte wait_left[2];		/* until a new owner may send its first order */
 bool grant[2];
-byte promised_left[2];		/* until the last order of it has lapsed */
-byte wire_from;			/* 1 + owner of an order on its way to VM 2 */
+byte promised_left[2];		/* until the owner's last order has expired */
+byte wire_from;			/* 1 + owner of the order in flight to VM 2; 0: none */
 byte wire_left;
-byte out_2;			/* target that VM 2 leaves out */
-byte out_left[3];		/* VMs 0 and 1 leave out only their own order's */
+byte out_2;			/* target that VM 2 has ejected */
+byte out_left[3];		/* VMs 0 and 1 eject only the target of their own order */
 
 #define IS_OUT(t) (out_left[t - 1] > 0 || (out_2 == t && out_left[2] > 0))
 
@@ -65,7 +65,7 @@
 	}
 }
 
-/* The owner's step comes before anything it sends. */
+/* The owner updates its state before it sends anything. */
 inline step_owner(o)
 {
 	if
@@ -87,7 +87,7 @@
 	   (v != 2 || silent_left == 0) ->
 		vote_for[v] = o + 1;
 		vote_left[v] = TTL;
-		/* It counts from what it echoes of the owner. */
+		/* Valid from the owner's timestamp that it echoes. */
 		if
 		:: v != o && beat_left[o] > count_left[o * 3 + v] ->
 			count_left[o * 3 + v] = beat_left[o]
@@ -97,7 +97,7 @@
 	fi
 }
 
-/* A candidate votes in its own step, and stops owning when it votes away. */
+/* A candidate votes in its own step; it steps down if it votes for the other. */
 inline vote_and_step(v, o)
 {
 	step_owner(v);
@@ -149,7 +149,7 @@
 	wire_left = 0
 }
 
-/* VM 2 is replaced: it knows nothing of its vote and its order. */
+/* VM 2 is replaced and has lost its vote and its order. */
 inline restart()
 {
 	restarts++;
--- a/models/news.pml
+++ b/models/news.pml
@@ -1,12 +1,12 @@
 /*
- * How VMs learn of one target of the platform's store: whole lists that some
- * read, and records that they hand on; both may be late, doubled, lost and out
- * of order. The target registers (revision 1), says that it leaves (2) and is
- * removed (3). A list holds as of a revision, and says whether it names the
- * target and with which revision.
+ * Distribution of one target's state from the platform's store to the VMs: some
+ * VMs read complete lists, and all forward single records. Both may be delayed,
+ * duplicated, lost and reordered. The target registers (revision 1), announces
+ * that it leaves (2) and is removed (3). A list carries the revision as of which
+ * it is complete, and the target's revision if the target is in it.
  *
- * Holds: a VM that knows that the target leaves or is gone never takes it for
- * ready again, and none calls it gone that was not removed.
+ * Invariants: a VM that has seen the target leaving or removed never considers
+ * it ready again, and no VM considers it removed before it was.
  */
 #define VMS 2
 #define REMOVED 3
@@ -15,13 +15,13 @@
 
 mtype = { list, record };
 
-byte store;		/* newest revision of the target, 0: none yet */
-byte known[VMS];	/* newest revision that the VM has of it */
+byte store;		/* newest revision of the target; 0: none yet */
+byte known[VMS];	/* newest revision of the target at the VM */
 bool gone[VMS];
-bool left[VMS];		/* the VM has once known that it leaves or is gone */
+bool left[VMS];		/* the VM has seen the target leaving or removed */
 byte sent;
 
-/* kind, VM it is for, as of, revision of the target (0: not named) */
+/* kind, receiving VM, as of, revision of the target (0: not in the list) */
 chan net = [4] of { mtype, byte, byte, byte };
 
 inline apply(vm, rev)
@@ -41,7 +41,7 @@
 	fi
 }
 
-/* What a whole list does not name is gone, unless it is newer than the list. */
+/* A target missing from a complete list is removed, unless known to be newer. */
 inline drop_unlisted(vm, as_of)
 {
 #ifdef DROP_NEWER
@@ -69,7 +69,7 @@
 	od
 }
 
-/* Reads of the store, and VMs that hand on what they know. */
+/* Reads of the store, and records that VMs forward. */
 active proctype senders()
 {
 	byte vm;
@@ -112,7 +112,7 @@
 		:: kind == record -> apply(vm, rev)
 		fi;
 		if
-		:: nfull(net) -> net!kind,vm,as_of,rev	/* doubled */
+		:: nfull(net) -> net!kind,vm,as_of,rev	/* duplicated */
 		:: true
 		fi
 	   }
--- a/models/once.pml
+++ b/models/once.pml
@@ -1,28 +1,29 @@
 /*
- * At most once: one key of one incarnation of VM A, a caller that retries at A
- * and at B, a target that runs whatever reaches it. A can crash and start anew
- * at any step; messages are delayed, overtaken and doubled at will; A's memory
- * of the key is swept after its expiry. A pause is a process that takes no step.
- * models/README.md maps the steps to functions.
+ * At-most-once execution: one idempotency key minted by one incarnation of VM A,
+ * a caller that retries at A and at B, and a target that executes every request
+ * it receives. A can crash and restart at any step; messages are delayed,
+ * reordered and duplicated arbitrarily; A drops its record of the key after the
+ * key has expired. A paused process takes no step. models/README.md maps the
+ * steps to functions.
  */
 #define TRIES 3
 
 mtype = { request, forward };
 mtype = { none, sent, answered, unknown };
 
-chan to_a = [2] of { mtype, byte };	/* kind, boot in the key */
+chan to_a = [2] of { mtype, byte };	/* kind, incarnation in the key */
 chan to_b = [2] of { byte };
 chan to_target = [1] of { bit };
-chan from_target = [1] of { bit };	/* 1: refused, and so not run */
+chan from_target = [1] of { bit };	/* 1: rejected, not executed */
 
-byte boot = 1;			/* A's incarnation */
+byte boot = 1;			/* current incarnation of A */
 byte key_boot = 1;		/* the incarnation that minted the key */
 bool expired = false;		/* by A's own clock */
-mtype record = none;		/* A's memory of the key */
+mtype record = none;		/* A's record of the key */
 byte runs = 0;
-byte in_flight = 0;		/* sends that may still run */
+byte in_flight = 0;		/* sent requests that may still execute */
 
-/* "not run" is said of the key: it must be so, and stay so unless retried. */
+/* Reports the key as not run, which must hold now and until a retry. */
 inline say_not_run()
 {
 	assert(runs == 0 && in_flight == 0)
@@ -50,7 +51,7 @@
 				record = sent;
 				in_flight++;
 				to_target ! 0
-			:: record != none -> skip	/* known: no send */
+			:: record != none -> skip	/* already recorded: not sent again */
 			fi
 		fi
 	fi
@@ -70,7 +71,7 @@
 			say_not_run();
 			record = none
 		:: record == sent && !refused -> record = answered
-		:: else -> skip			/* of an earlier life */
+		:: else -> skip			/* of an earlier incarnation */
 		fi }
 	/* The connection breaks after the request was sent. */
 #ifdef UNKNOWN_IS_NOT_RUN
@@ -78,9 +79,9 @@
 #else
 	:: atomic { record == sent -> record = unknown }
 #endif
-	/* Crash and restart: all memory is gone. */
+	/* Crash and restart: all state is lost. */
 	:: atomic { boot < 2 -> boot++; record = none; expired = false }
-	/* The key's time is over, and the sweep forgets it. */
+	/* The key expires, and its record is removed later. */
 	:: atomic { !expired && boot == key_boot -> expired = true }
 	:: atomic { expired && record != none && record != sent ->
 		record = none }
@@ -95,7 +96,7 @@
 	:: atomic { to_b ? b ->
 		if
 		:: nfull(to_a) -> to_a ! forward(b)
-		:: true -> skip		/* A not reached: unknown */
+		:: true -> skip		/* A is unreachable: unknown */
 		fi }
 	od
 }
@@ -108,11 +109,11 @@
 	:: atomic { to_target ? x ->
 		if
 		:: runs < 3 -> runs++; in_flight--; from_target ! 0
-		:: in_flight--; from_target ! 1		/* shed: not run */
-		:: runs < 3 -> runs++; in_flight--	/* ran, answer lost */
-		:: in_flight--				/* lost on the way */
+		:: in_flight--; from_target ! 1		/* rejected: not executed */
+		:: runs < 3 -> runs++; in_flight--	/* executed, response lost */
+		:: in_flight--				/* request lost */
 		fi }
-	/* A late or doubled answer meets nobody. */
+	/* A late or duplicate response is discarded. */
 	:: atomic { from_target ? x -> skip }
 	od
 }
@@ -132,7 +133,7 @@
 	od
 }
 
-/* Enabled at every state, so it looks at all of them. */
+/* Enabled in every state, so the assertion is checked in all of them. */
 active proctype watch()
 {
 	end: assert(runs <= 1)
--- a/models/proof.pml
+++ b/models/proof.pml
@@ -1,12 +1,12 @@
 /*
- * For how long a VM may go by a configuration of which it hears nothing newer.
- * The store holds configuration 1 and accepts 2, which takes a key away, at any
- * time. A reader asks the store, another VM asks the reader; questions and
- * answers may be late, lost or overtake each other, and either VM may stand
- * still, which is when time passes without a step of its own.
+ * Bound on how long a VM may use a configuration after a newer one exists. The
+ * store holds configuration 1 and at any time accepts 2, which revokes a key.
+ * One VM (the reader) queries the store, and the other (the asker) queries the
+ * reader. Queries and replies may be delayed, lost or reordered, and either VM
+ * may be paused while time passes.
  *
- * Holds: a VM that goes by configuration 1 under a proof that is younger than
- * the bound does so no later than the bound after 2 was accepted.
+ * Invariant: a VM that uses configuration 1 with a proof younger than the bound
+ * does so no later than the bound after 2 was accepted.
  */
 #define BOUND 2
 #define END 6
@@ -17,13 +17,13 @@
 byte accepted = 255;	/* when configuration 2 was accepted */
 byte held[2] = 1;	/* the configuration in force */
 bool proven[2];
-byte proof[2];		/* until when that is proven to be the newest */
-byte asked[2];		/* when the open question was sent */
+byte proof[2];		/* time up to which it is proven to be the newest */
+byte asked[2];		/* when the outstanding query was sent */
 bool asking[2];
 
-/* From the store: the configuration it held, at a time after the question. */
+/* From the store: its configuration at a time after the query. */
 chan answers = [1] of { byte };
-/* To and from the reader: a question; an answer's configuration and age. */
+/* To the reader: a query; from it: the configuration and the proof's age. */
 chan questions = [1] of { bool };
 chan told = [2] of { byte, byte };
 
@@ -35,7 +35,7 @@
 	fi
 }
 
-/* A request under the key comes to the VM. */
+/* A request with the revoked key arrives at the VM. */
 inline serve(vm)
 {
 	if
@@ -81,7 +81,7 @@
 		renew(READER, asked[READER]);
 #endif
 		asking[READER] = false }
-	:: atomic { asking[READER] && empty(answers) ->	/* it gives up */
+	:: atomic { asking[READER] && empty(answers) ->	/* query timed out */
 		asking[READER] = false }
 	:: atomic { nempty(questions) && proven[READER] && nfull(told) ->
 		questions?_;
@@ -119,7 +119,7 @@
 		:: else
 		fi;
 		asking[ASKER] = false;
-		/* Whatever else is on its way answers an earlier question. */
+		/* Any other reply in flight belongs to an earlier query. */
 		if
 		:: nempty(told) -> told?_,_
 		:: else
@@ -134,7 +134,7 @@
 		:: nempty(questions) -> questions?_
 		:: else
 		fi }
-	/* The configuration itself comes, sooner or later. */
+	/* The configuration itself arrives eventually. */
 	:: atomic { held[ASKER] < held[READER] -> held[ASKER] = held[READER] }
 	:: atomic { serve(ASKER) }
 	:: now == END -> break
--- a/models/run.sh
+++ b/models/run.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# Check each model exhaustively within its bound, and that Spin refutes each
-# broken variant: a model that can't fail proves nothing.
+# Verifies each model exhaustively within its bounds, and checks that Spin finds
+# an error in each broken variant, which shows that the assertions can fail.
 set -uo pipefail
 HERE=$(cd "$(dirname "$0")" && pwd)
 WORK=$(mktemp -d)
 trap 'rm -rf "$WORK"' EXIT
 FAILED=0
-# Depth first reduces the interleavings of several processes; floor.pml is one
-# process of many short steps, whose depth has no useful bound.
+# Depth-first search allows partial order reduction over several processes.
+# floor.pml is one process with many short steps, whose search depth has no
+# useful bound, so it is searched breadth-first.
 declare -A ENGINE=([once]=-DCOLLAPSE [config]=-DCOLLAPSE [floor]=-DBFS
 	[news]=-DCOLLAPSE [proof]=-DCOLLAPSE)
 
@@ -29,7 +30,7 @@
 	esac
 	[ $verdict = ok ] || FAILED=1
 	printf '%-8s %-20s %-28s %10s states  %s\n' "$1" "${3:-as designed}" \
-		"$([ "$2" = good ] && echo "no error, exhaustive" || echo "refuted, as it must be")" \
+		"$([ "$2" = good ] && echo "no error, exhaustive" || echo "error found, as expected")" \
 		"${states:-?}" $verdict
 }
 
