--- a/models/floor.pml
+++ b/models/floor.pml
@@ -1,11 +1,11 @@
 /*
  * The ejection budget: three VMs, of which two can become the owner by two
  * votes, and a budget of one target; owner o ejects target o + 1. Timers hold
- * the time left, 0 to TTL, and one time step decrements all of them, so
- * runs of any length are covered. A vote is valid from the owner's timestamp that it echoes;
- * an order may be delayed arbitrarily. A paused VM takes no step while time
- * passes; a restarted VM has lost all its state. A vote that arrives late is
- * modelled as an owner that acts late. models/README.md maps the steps to
+ * the time left, 0 to TTL, and one time step decrements all of them, so runs of
+ * any length are covered. A vote is valid from the owner's timestamp that it
+ * echoes; an order may be delayed arbitrarily. A paused VM takes no step while
+ * time passes; a restarted VM has lost all its state. A vote that arrives late
+ * is modelled as an owner that acts late. models/README.md maps the steps to
  * functions.
  */
 #define TTL 2
--- a/scripts/ablate.sh
+++ b/scripts/ablate.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# What each mechanism is worth: plays the standard days of deployments with one
-# switched off at a time, the same days and seeds for each, and prints the
-# difference to all on. PLAYER is the program that plays a day:
+# Ablation: simulates the standard days of deployments with one mechanism switched
+# off at a time, with the same days and seeds, and prints the difference to the run
+# with all mechanisms on. PLAYER is the program that simulates a day:
 #   PLAYER run SITE DAY --seed N --jobs 1 --no-cpu --why TEXT
-# SEEDS, JOBS and ONLY (names of mechanisms) may be set. Journal entries of the
-# runs are brought home.
+# SEEDS, JOBS and ONLY (names of mechanisms) may be set. The journal entries of
+# the runs are copied into this repository.
 set -euo pipefail
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
-: "${PLAYER:?the program that plays a day of a deployment}"
+: "${PLAYER:?program that simulates a day of a deployment}"
 PLAYER=$(realpath "$PLAYER")
 SEEDS=${SEEDS:-5 6}
 JOBS=${JOBS:-$(($(nproc) - 1))}
@@ -23,7 +23,7 @@
 	(cd "$WORK/$name" && "$PLAYER" build >/dev/null)
 done
 
-one() { # NAME SITE DAY SEED
+run_one() { # NAME SITE DAY SEED
 	cd "$WORK/$1"
 	"$PLAYER" run "$2" "$3" --seed "$4" --jobs 1 --no-cpu \
 		--why "ablation: without $1" 2>/dev/null |
@@ -31,7 +31,7 @@
 			'/^[a-z]+-[0-9]+ +[0-9]+\/[0-9]+ / {
 				print id, $4, $7, /BROKEN/ ? "BROKEN" : "-" }'
 }
-export -f one
+export -f run_one
 export WORK PLAYER
 
 for name in none $names; do
@@ -43,7 +43,7 @@
 			done
 		done
 	done
-done | xargs -P "$JOBS" -L 1 bash -c 'one "$@"' _ >"$WORK/results"
+done | xargs -P "$JOBS" -L 1 bash -c 'run_one "$@"' _ >"$WORK/results"
 
 for name in none $names; do
 	for f in $(cd "$WORK/$name" && git ls-files -o journal; cd "$WORK/$name" && git diff --cached --name-only journal); do
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# The product's main job at a deployment's size, with a gray target, a VM that
-# is lost and replaced, and a new document; then a report. Exits 1 when a
-# promise was broken.
+# Demo at the size of a deployment: a gray target, a VM that is lost and replaced,
+# and a new document, followed by a report. Exits 1 if a check failed.
 set -uo pipefail
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 . "$ROOT/scripts/measure/lib.sh"
@@ -31,7 +30,7 @@
 	--report "$OUT/direct.json" &
 DIRECT=$!
 wait $DIRECT
-echo "+4 s   ${SERVICES[0]}-3 turns gray: health checks are answered, work hangs"
+echo "+4 s   ${SERVICES[0]}-3 turns gray: it answers health checks, requests hang"
 GRAY_AT=$(target_fault 0 3 mode=gray | jq .at_us)
 sleep 5
 echo "+9 s   vm-${CENTRES[1]}-1 is lost, and replaced a second later"
@@ -59,14 +58,14 @@
 	jq -r '[.service, .rate, .sent] + (reduce (.reads, .never, .must) as $e ([0,0,0,0]; [.[0] + $e.answered, .[1] + $e.not_run, .[2] + $e.unknown, .[3] + $e.no_answer])) + [.latency_ms.p50, .latency_ms.p99] | @tsv' "$OUT/$l.json" |
 		awk -F'\t' '{printf "%-26s %6d %6d %8d %7d %7d %9d %8.1f %8.1f\n",$1,$2,$3,$4,$5,$6,$7,$8,$9}'
 done
-jq -r '"straight to the targets: p50 \(.latency_ms.p50) ms, p99 \(.latency_ms.p99) ms (work itself included)"' "$OUT/direct.json"
+jq -r '"direct to the targets: p50 \(.latency_ms.p50) ms, p99 \(.latency_ms.p99) ms (work itself included)"' "$OUT/direct.json"
 echo
 row gray_target_detected "$(detection_ms 0 3 "$GRAY_AT" $((GRAY_AT + 8000000)) "$(jq -n "$(report_of a .rate) / ${TARGETS[0]}")")" ms \
 	"<=$(sed -n 's/^  detect_ms: \([0-9]*\).*/\1/p' "$ROOT/examples/$DEPLOY/${SERVICES[0]}.yaml")"
 row healthy_targets_ejected "$(jq --arg s "${SERVICES[0]}-3" '[.[] | select(.kind == "target-ejected" and .subject != $s) | .subject] | unique | length' "$OUT/timeline.json")" targets '==0'
 row document_in_force_after "$(jq --arg s "${SERVICES[0]}" --argjson f "$FORCE_FROM" '[.[] | select(.kind == "document-in-force" and .service == $s and .wall > $f and (.process | startswith("vm-"))) | (.wall - $f) / 1000] | max // 99999 | round' "$OUT/timeline.json")" ms '<=18000'
 row vms_with_the_new_document "$(jq --arg s "${SERVICES[0]}" '[.[].services[] | select(.name == $s and .in_cell)] | [.[].config.document_revision] | (max) as $m | map(select(. == $m)) | length' "$OUT/status.json")" VMs '==8'
-for l in a b c; do promises $l; done
+for l in a b c; do guarantee_rows $l; done
 row lost_answers "$(jq -s 'map(.reads.no_answer + .never.no_answer + .must.no_answer) | add' "$OUT"/{a,b,c}.json)" requests
 row answered_share "$(jq -s '(map(.reads.answered + .never.answered + .must.answered) | add) / (map(.sent) | add) * 10000 | round / 100' "$OUT"/{a,b,c}.json)" percent '>=99'
 echo
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,6 +1,6 @@
-# A deployment of plain processes on 127.0.0.0/8, for ./dev demo and measure.
-# Sourced. FLEET_DIR holds its files; every process it starts is ended by id.
-# Only the VMs are the product; platform, targets, load and relay stand in.
+# Runs a deployment as processes on 127.0.0.0/8, for ./dev demo and measure.
+# Sourced. FLEET_DIR holds its files; its processes are killed by process id.
+# The VMs run the real daemon; platform, targets, load and relay are simulated.
 
 FLEET_BIN=${FLEET_BIN:-$ROOT/build}
 PLATFORM=127.0.9.1:8500
@@ -21,7 +21,7 @@
 	return 0
 }
 
-fleet_kill() { # NAME: as a VM that is lost
+fleet_kill() { # NAME: kills the process, as when a VM is lost
 	fleet_signal KILL "$1"
 	wait "${PID_OF[$1]}" 2>/dev/null
 	unset "PID_OF[$1]"
@@ -70,7 +70,7 @@
 		"${RELAY_IP:+,\"peer_address\":\"$RELAY_IP\"}"
 }
 
-vm_list() { # prints the published list; STATE_OF[vm]=leaving|gone changes it
+vm_list() { # prints the published list; STATE_OF[vm]=leaving|gone sets a state
 	local c n name state sep=
 	printf '['
 	for c in "${!CENTRES[@]}"; do
@@ -142,7 +142,7 @@
 		--name "${SERVICES[$1]}-$2" --work-ms "${WORK[$1]}"
 }
 
-# All datagrams between VMs go through the relay, which knows both ends.
+# Routes all datagrams between VMs through the relay, with one port per VM.
 start_relay() {
 	local c n port=30000
 	RELAY_IP=127.0.9.2
@@ -209,7 +209,8 @@
 	wait_for "http://$VM_NET.1.1:7002/status" 10
 }
 
-# Have every service attended by its cell before anything is measured.
+# Sends a lookup for each service to every VM, so that the cells are active before
+# anything is measured.
 fleet_warm() {
 	local s entry
 	for s in "${SERVICES[@]}"; do
@@ -228,14 +229,14 @@
 
 platform_fault() { curl -sf -m 3 -X POST "http://$PLATFORM/_fault?$1" >/dev/null; }
 
-all_status() { # one JSON value with the status of every VM that answers
+all_status() { # prints a JSON array with the status of each VM that replies
 	local entry
 	while read -r entry; do
 		curl -sf -m 2 "http://${entry%:7000}:7002/status"
 	done <"$FLEET_DIR/entries" | jq -s .
 }
 
-all_events() { # time line of all processes, merged
+all_events() { # prints the events of all VMs, merged by time
 	local entry
 	while read -r entry; do
 		curl -sf -m 2 "http://${entry%:7000}:7002/v1/events"
--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Fuzz the document check, the datagram decoder, and what a store and a
-# connection may bring: a bounded number of runs
-# from a fixed seed, so that CI gives the same verdict each time.
+# Fuzzes the document parser, the datagram decoder and the parsers of store
+# responses and HTTP messages. The number of runs and the seed are fixed, so that
+# CI gives the same result each time.
 set -euo pipefail
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 RUNS=${1:-200000}
@@ -18,4 +18,4 @@
 	"$DIR/$f" -seed=1 -runs="$RUNS" -max_len=4096 -verbosity=0 \
 		-artifact_prefix="$DIR/" "$DIR/corpus"
 done
-echo "fuzz: nothing found"
+echo "fuzz: no failures"
--- a/scripts/known.sh
+++ b/scripts/known.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Plays the entries of KNOWN-RED.txt, each so many times, and prints a row an
-# entry: line, plays, how many broke, which rules. Tests of this repository are
-# run from build/. Days need PLAYER, the program that plays a day of a
-# deployment, and SITES, the folder below which the site files lie:
+# Runs each entry of KNOWN-RED.txt the given number of times and prints a row per
+# entry: line, runs, failures, violated rules. Tests of this repository are run
+# from build/. Simulated days need PLAYER, the program that simulates a day of a
+# deployment, and SITES, the directory that contains the site files:
 #   PLAYER run|replay SITE DAY [OPTION...] --why TEXT
-# The list is never changed. Exit 1: an entry that is said to be mended broke;
-# 2: the list or the arguments are wrong.
+# The list is not modified. Exit status 1: an entry that is marked as mended
+# failed; 2: the list or the arguments are invalid.
 set -euo pipefail
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 LIST=${LIST:-$ROOT/KNOWN-RED.txt}
@@ -19,7 +19,7 @@
 }
 
 [[ $times =~ ^[1-9][0-9]*$ ]] ||
-	{ echo "known: $times: expected how often to play each entry" >&2; exit 2; }
+	{ echo "known: $times: expected the number of runs for each entry" >&2; exit 2; }
 [ -r "$LIST" ] || { echo "known: $LIST: no such list" >&2; exit 2; }
 
 report() { # LINE NAME BROKEN RULES TEXT
--- a/scripts/measure/capacity.sh
+++ b/scripts/measure/capacity.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Shared capacity: three times what the targets can do, what must get through,
-# impatient callers, all targets restarted, and a target that is leaving.
+# Overload: three times the capacity of the targets with a share of requests
+# that must get through, a retry storm, a restart of all targets, and a target
+# that leaves.
 . "$(dirname "$0")/lib.sh"
 WORK_ALL=40
 # 10 targets of 3 slots at 40 ms: 750 requests a second.
@@ -35,6 +36,6 @@
 row answered_with_all_targets_restarted "$(report_of restart '(.reads.answered + .must.answered) / .sent * 10000 | round / 100')" percent
 row healthy_ejected_after_a_restart_of_all "$(all_events | jq --argjson f "$((at - 5000000))" '[.[] | select(.kind == "target-ejected" and .wall > $f) | .subject] | unique | length')" targets
 row leaving_target_got_work_for "$(curl -s "http://$TARGET_NET.3.4:7100/_ledger" | jq --argjson at "$at" '[.ledger[] | .wall | select(. > $at) | (. - $at) / 1000] | max // 0 | round')" ms '<=2000'
-for l in full over storm restart; do promises $l; done
+for l in full over storm restart; do guarantee_rows $l; done
 control_cost capacity
 measure_end
--- a/scripts/measure/churn.sh
+++ b/scripts/measure/churn.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# VMs come and go under load: the cell replaced one after another, then a
-# quarter of all VMs at once, without warning.
+# VM replacement under load: the VMs of a cell one after another, then a quarter
+# of all VMs killed at once.
 . "$(dirname "$0")/lib.sh"
 STOP_AFTER_S=4
 DOCUMENT_EDIT='s/^keep_s: .*/keep_s: 3/'
@@ -51,6 +51,6 @@
 row orders_sent "$(report_of orders .sent)" count
 row answered_share "$(report_of orders '(.never.answered + .reads.answered) / .sent * 10000 | round / 100')" percent '>=98'
 row unknown_share "$(report_of orders '(.never.unknown + .never.no_answer) / .never.sent * 10000 | round / 100')" percent
-promises orders
+guarantee_rows orders
 control_cost churn
 measure_end
--- a/scripts/measure/config.sh
+++ b/scripts/measure/config.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Configuration: in force everywhere in seconds, never an older one, with the
-# platform up, stale for all VMs but one, and down; and what it costs in calls.
+# Configuration rollout: the time until a document is in force at all VMs, and
+# that no VM returns to an older one, while the platform is up, stale for all VMs
+# but one, and down. Also counts platform calls.
 . "$(dirname "$0")/lib.sh"
 fleet_begin imigabane "$ROOT/out/config" || exit 1
 fleet_warm 8
@@ -10,7 +11,8 @@
 
 cell_status() { all_status | jq '[.[] | {vm, s: (.services[]? | select(.name == "order-desk" and .in_cell))}]'; }
 
-# Wait until the whole cell holds one floor; prints milliseconds, 20000 if not.
+# Waits until all VMs of the cell have the floor; prints milliseconds, or 20000 on
+# a timeout.
 in_force() { # FLOOR FROM-US
 	local i
 	for ((i = 0; i < 100; i++)); do
@@ -58,7 +60,7 @@
 platform_fault 'mode=ok'
 row old_revisions_refused "$(all_status | jq 'map(.platform.old_revisions) | add')" count
 row vms_that_went_back "$(all_events | jq '[.[] | select(.kind == "document-in-force" and .service == "order-desk")] | group_by(.process) | map([.[].detail | capture("floor (?<f>[0-9]+)").f | tonumber] | select(. != sort)) | length')" VMs '==0'
-# Readers of a platform that was down come back within 12 s.
+# VMs read the platform again within 12 s after it is back.
 publish_document 1 's/^floor: .*/floor: two/'
 sleep 13
 row vms_that_refuse_a_bad_document "$(cell_status | jq '[.[] | select(.s.config.refused_reason | test("floor"))] | length')" VMs '>=8'
--- a/scripts/measure/false-ejections.sh
+++ b/scripts/measure/false-ejections.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# How many healthy but noisy targets are ejected under Imigabane's document, and
-# how long a sick one keeps receiving work, by this detector and by three
-# baselines in the same run. Noise: each target stalls for 500 ms every 8 s on
+# False ejections of healthy but noisy targets under Imigabane's document, and the
+# detection time of a faulty one, for the default detector and three baselines in
+# the same run. Noise: each target stalls for 500 ms every 8 s on
 # average, and fails one request in a hundred.
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/lib-faults.sh"
@@ -19,21 +19,21 @@
 		[ "$d" = cusum ] || set_detector 0 "$d"
 		mark=$(date +%s%6N)
 		sleep 6
-		ms=$(try_fault 0 $n mode=gray 5 120)
-		ms=$(as_baseline "$d" "$ms" 250)
+		ms=$(measure_fault 0 $n mode=gray 5 120)
+		ms=$(detected_or_none "$d" "$ms" 250)
 		row "imigabane_dead_but_healthy_$d" "$ms" ms
-		if [ "$d" = cusum ]; then ours=$ms; else best=$(sooner_of "$best" "$ms"); fi
+		if [ "$d" = cusum ]; then ours=$ms; else best=$(smaller_of "$best" "$ms"); fi
 		target_fault 0 "$n" mode=noise >/dev/null
 		all_events | jq --argjson m "$mark" '[.[] | select(.wall >= $m)]' >"$FLEET_DIR/events-$d.json"
 		row "imigabane_false_ejections_$d" \
-			"$(ejected_but "$FLEET_DIR/events-$d.json" ledger-view ledger-view-$n)" targets \
+			"$(ejected_except "$FLEET_DIR/events-$d.json" ledger-view ledger-view-$n)" targets \
 			"$([ "$d" = cusum ] && echo '==0')"
 		n=$((n + 1))
 	done
 	row imigabane_times_sooner_than_best_baseline \
-		"$(times_sooner "$ours" "$best")" times '>=1'
+		"$(speedup "$ours" "$best")" times '>=1'
 	wait_load view
-	promises view
+	guarantee_rows view
 	fleet_end
 }
 
--- a/scripts/measure/floor.sh
+++ b/scripts/measure/floor.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The floor: four of ten targets sick under a floor of eight, the floor raised
-# meanwhile, the owner paused. A breach is a moment at which the targets that any VM of the cell has
-# stopped giving work, taken together, leave fewer in use than the floor.
+# The floor under faults: four of ten targets fail with a floor of eight, then the
+# floor is raised and the owner paused. A breach is a sample in which the union of
+# the targets ejected by the VMs of the cell leaves fewer in use than the floor.
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/lib-floor.sh"
 DOCUMENT_EDIT='s/^floor: .*/floor: 8/'
@@ -11,7 +11,7 @@
 start_load feed 0 --rate 300 --seconds 50 --read-path /schedules
 sleep 2
 
-look_at_cell
+select_cell
 owner=$(all_status | jq -r '.[] | select(.services[]? | select(.name == "schedule-feed" and .owner)) | .vm')
 row cell_has_an_owner "$([ -n "$owner" ] && echo 1 || echo 0)" count '==1'
 for t in 1 2 3 4; do target_fault 0 $t mode=error >/dev/null; done
@@ -33,6 +33,6 @@
 for t in 1 2 3 4; do target_fault 0 $t mode=ok >/dev/null; done
 wait_load feed
 row answered_share "$(report_of feed '.reads.answered / .reads.sent * 10000 | round / 100')" percent
-promises feed
+guarantee_rows feed
 control_cost floor
 measure_end
--- a/scripts/measure/lib-floor.sh
+++ b/scripts/measure/lib-floor.sh
@@ -1,6 +1,6 @@
-# Looks at what the VMs of a cell leave out. Sourced after lib.sh.
+# Samples which targets the VMs of a cell have ejected. Sourced after lib.sh.
 samples=0
-sample() { # SECONDS: one look at all VMs after the other
+sample() { # SECONDS: polls all VMs of the cell repeatedly
 	local end=$((SECONDS + $1)) entry
 	while [ $SECONDS -lt "$end" ]; do
 		rm -f "$FLEET_DIR"/look.*
@@ -10,7 +10,7 @@
 		samples=$((samples + 1))
 	done
 }
-look_at_cell() {
+select_cell() {
 	local entry
 	CELL=($(all_status | jq -r '.[] | select(.services[]? | select(.name == "schedule-feed" and .in_cell)) | .vm' |
 	while read -r v; do sed -n 's/^address: //p' "$FLEET_DIR/$v.yaml"; done | sed 's/$/:7002/'))
--- a/scripts/measure/lib.sh
+++ b/scripts/measure/lib.sh
@@ -1,20 +1,22 @@
-# What the measures share. Each prints lines "name value unit limit ok|FAIL"
-# and exits 1 if one of them failed. A limit of '-' is a figure for the record.
+# Shared functions of the measurement scripts. Each script prints rows "name
+# value unit limit ok|FAIL" and exits 1 if one failed. A row with limit '-' is
+# recorded without a check.
 set -uo pipefail
 ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/../.." && pwd)
 . "$ROOT/scripts/fleet.sh"
 MEASURE_FAILED=0
 
-# A figure that was not taken is -1, or no number at all.
-is_taken() { # VALUE
+# Whether the value was measured: a number other than -1.
+is_measured() { # VALUE
 	[[ $1 =~ ^-?[0-9]+(\.[0-9]+)?$ ]] && [ "$1" != -1 ]
 }
 
-# NAME VALUE UNIT [LIMIT]; a limit is a number with <=, >= or == before. A figure
-# that was not taken fails its row, also one without a limit; "none" is no figure.
-row() {
+# Prints a row. The limit is <=, >= or == and a number. A value that was not
+# measured fails its row, also one without a limit. "none" is a valid result that
+# is no number; it passes only without a limit.
+row() { # NAME VALUE UNIT [LIMIT]
 	local verdict=ok limit=${4:--}
-	is_taken "$2" || [ "$2" = none ] || verdict=FAIL
+	is_measured "$2" || [ "$2" = none ] || verdict=FAIL
 	[ "$2" = none ] && [ "$limit" != - ] && verdict=FAIL
 	if [ "$limit" != - ] && [ "$verdict" = ok ]; then
 		jq -en --arg v "$2" --arg l "$limit" '
@@ -30,8 +32,8 @@
 
 report_of() { jq -r "$2" "$FLEET_DIR/$1.json"; }
 
-# Counts that must be 0, of one load's report.
-promises() { # LOAD
+# Counts of broken guarantees in the report of one load; each must be 0.
+guarantee_rows() { # LOAD
 	row "$1_doubled" "$(report_of "$1" .doubled)" count '==0'
 	row "$1_not_run_lies" "$(report_of "$1" .not_run_lies)" count '==0'
 	row "$1_misdelivered" "$(report_of "$1" .misdelivered)" count '==0'
@@ -40,7 +42,8 @@
 
 control_mark() { all_status >"$FLEET_DIR/mark.json"; }
 
-# What control cost each VM since control_mark, busiest VM first.
+# Prints the highest control traffic and processor use of any VM since control_mark,
+# and the highest memory of any VM.
 control_cost() { # PREFIX
 	all_status >"$FLEET_DIR/now.json"
 	jq -rn --slurpfile a "$FLEET_DIR/mark.json" --slurpfile b "$FLEET_DIR/now.json" '
@@ -64,18 +67,19 @@
 		publish "services/${SERVICES[$1]}/document"
 }
 
-# Trickles, by which a target can prove itself, are not counted.
-# Milliseconds from a fault until the target got less than a tenth of its
-# share in a second, for good (if it never got that much, until its last
-# request of the first half second); -1 if it had no work before the fault.
+# Prints the milliseconds from a fault until the target's requests stay below a
+# tenth of its share in each second. If they were never above that, prints the
+# time of its last request in the first 500 ms. -1 if the target had less than a
+# quarter of its share in the second before the fault. Trickle requests, which
+# let an ejected target prove itself, are not counted.
 detection_ms() { # SERVICE-INDEX NUMBER FAULT-AT-US UNTIL-US SHARE-A-SECOND
 	curl -sf -m 5 "http://$TARGET_NET.$(($1 + 1)).$2:7100/_ledger" |
 		jq --argjson at "$3" --argjson until "$4" --argjson share "$5" '
 		([.ledger[] | select(.wall >= $at - 1000000 and .wall < $at)] | length) as $before |
 		[.ledger[] | select(.wall >= $at and .wall < $until and (.trickle | not)) | ((.wall - $at) / 1000)] as $t |
-		($share / 10) as $least |
+		($share / 10) as $threshold |
 		[range(0; ($until - $at) / 1000; 100)] |
-		map(. as $from | select(([$t[] | select(. >= $from and . < $from + 1000)] | length) > $least)) |
+		map(. as $from | select(([$t[] | select(. >= $from and . < $from + 1000)] | length) > $threshold)) |
 		if $before < $share / 4 then -1 elif length == 0 then ([$t[] | select(. < 500)] | max // 0 | round) else (last + 1000) as $edge | [$t[] | select(. < $edge)] | max | round end'
 }
 
--- a/scripts/measure/once.sh
+++ b/scripts/measure/once.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# At most once under kills, pauses, resets and retries at other VMs, against
-# the targets' own ledgers.
+# At-most-once execution under killed and paused VMs, connection resets and retries
+# at other VMs, checked against the targets' records of executed requests.
 . "$(dirname "$0")/lib.sh"
 fleet_begin imigabane "$ROOT/out/once" || exit 1
 fleet_warm 8
@@ -23,7 +23,7 @@
 fleet_kill "$3"
 n=${1##*-}
 start_vm "$(for c in "${!CENTRES[@]}"; do [[ $1 == vm-${CENTRES[$c]}-* ]] && echo "$c"; done)" "$n"
-# One key, sent to two VMs at once, forty times.
+# Sends each of forty keys to two VMs at once.
 two=($(curl -s "http://$VM_NET.1.1:7000/v1/lookup?service=order-desk" | jq -r '.addresses[] | "\(.address):\(.port)"'))
 for i in $(seq 40); do
 	key=$(curl -s -m 2 "http://${two[0]}/v1/keys?service=order-desk" | jq -r '.keys[0]')
@@ -43,6 +43,6 @@
 row orders_answered "$(report_of orders '.never.answered / .never.sent * 10000 | round / 100')" percent
 row orders_unknown "$(report_of orders '(.never.unknown + .never.no_answer) / .never.sent * 10000 | round / 100')" percent
 row orders_unknown_that_ran "$(report_of orders .unknown_ran)" count
-promises orders
+guarantee_rows orders
 control_cost once
 measure_end
--- a/scripts/measure/path.sh
+++ b/scripts/measure/path.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# What the system adds to a request, and what a VM costs, against the direct
-# path in the same run.
+# Added latency of a request, compared with direct requests in the same run, and
+# the memory and processor time of a VM.
 . "$(dirname "$0")/lib.sh"
 fleet_begin altiplano "$ROOT/out/path" || exit 1
 fleet_warm 4
@@ -27,7 +27,7 @@
 row processor_of_an_idle_vm "$(jq -n --slurpfile a "$FLEET_DIR/mark.json" --slurpfile b "$FLEET_DIR/loaded.json" '
 	($a[0] | map({key: .vm, value: .}) | from_entries) as $was |
 	[$b[0][] | select(.proxy.requests - $was[.vm].proxy.requests == 0) | (.process.cpu_s - $was[.vm].process.cpu_s) / (.uptime_s - $was[.vm].uptime_s) * 100] | if length > 0 then max * 100 | round / 100 else 0 end')" percent '<=2.2'
-promises feed
+guarantee_rows feed
 head -c 200000000 /dev/zero >"$FLEET_DIR/package"
 entry=$(curl -s "http://$VM_NET.1.1:7000/v1/lookup?service=package-intake" | jq -r '.addresses[0] | "\(.address):\(.port)"')
 before=$(curl -s "http://${entry%:*}:7002/status" | jq .process.max_rss_kb)
--- a/scripts/measure/slopes.sh
+++ b/scripts/measure/slopes.sh
@@ -1,4 +1,4 @@
 #!/usr/bin/env bash
-# What the decisions cost as sizes grow; the figures behind docs/CAPACITY.md.
+# Cost of the decisions as sizes grow; source of the figures in docs/CAPACITY.md.
 ROOT=$(cd "$(dirname "${BASH_SOURCE[0]}")/../.." && pwd)
 exec "${FLEET_BIN:-$ROOT/build}/bench-slopes"
--- a/scripts/measure/split.sh
+++ b/scripts/measure/split.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The floor in a fleet whose VMs lose each other: two data centres from the
-# other two, first in one direction only, then in both, then delayed and
-# doubled. Two targets fail at first, two more in the split; the floor is eight
+# The floor under a network partition between two pairs of data centres: messages
+# are dropped in one direction, then in both, then delayed, then duplicated. Two
+# targets fail at the start and two more during the partition; the floor is eight
 # of ten.
 . "$(dirname "$0")/lib.sh"
 . "$(dirname "$0")/lib-floor.sh"
@@ -9,7 +9,7 @@
 DOCUMENT_EDIT='s/^floor: .*/floor: 8/'
 fleet_begin altiplano "$ROOT/out/split" || exit 1
 fleet_warm 15
-look_at_cell
+select_cell
 control_mark
 start_load feed 0 --rate 300 --seconds 60 --read-path /schedules
 row cell_has_an_owner "$(all_status | jq '[.[].services[] | select(.name == "schedule-feed" and .owner)] | length')" count '==1'
@@ -39,5 +39,5 @@
 row datagrams_lost_by_the_relay "$(curl -s http://127.0.9.2:8600/ | jq .lost)" count '>=1'
 wait_load feed
 row answered_share "$(report_of feed '.reads.answered / .reads.sent * 10000 | round / 100')" percent
-promises feed
+guarantee_rows feed
 measure_end
--- a/scripts/measure/together.sh
+++ b/scripts/measure/together.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# All that the VMs do together, one measure after the other.
+# Runs all measurements that involve several VMs, one after another.
 HERE=$(cd "$(dirname "${BASH_SOURCE[0]}")" && pwd)
 FAILED=0
 for name in detection false-ejections floor split once config capacity churn; do
--- a/scripts/rpcgen.sh
+++ b/scripts/rpcgen.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Make entry/mesh_xdr.[ch] anew from entry/mesh.x.
+# Regenerates entry/mesh_xdr.[ch] from entry/mesh.x.
 set -euo pipefail
 cd "$(dirname "$0")/../entry"
 rm -f mesh_xdr.h
--- a/tests/known_test.sh
+++ b/tests/known_test.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# The list of known failures as it is played: counts, and errors by line.
+# Tests scripts/known.sh: failure counts, and errors that name the line of the
+# list.
 set -u
 ROOT=$(cd "$(dirname "$0")/.." && pwd)
 W=$(mktemp -d)
@@ -30,18 +31,18 @@
 touch "$W/site-a.toml"
 
 echo 'FLOOR on site-a (player run site-a days/x.toml --vary --seed 7, once): seen; issue 1' >"$W/list"
-check "an entry that breaks is counted, and is no error" 0 \
+check "a failing entry is counted and does not fail the run" 0 \
 	'3 plays +1 broken  FLOOR 2'
 grep -q "^run $W/site-a.toml days/x.toml --vary --seed 7 --why" "$W/calls" ||
 	{ echo "failed: arguments"; cat "$W/calls"; bad=1; }
 
 echo 'DRAIN on site-a (player replay site-a hunt-1): mended in abc; issue 1' >"$W/list"
-check "one that is said to be mended must not break" 1 'said to be mended'
+check "a failing entry that is marked as mended fails the run" 1 'said to be mended'
 
 printf '\nFLOOR on site-b (player run site-b day-1): seen; issue 1\n' >"$W/list"
-check "an unknown site is told by line" 2 '^list:2: site-b: no such site'
+check "an unknown site is reported with its line" 2 '^list:2: site-b: no such site'
 
 echo 'FLOOR somewhere: seen once; issue 1' >"$W/list"
-check "an entry without a command is told by line" 2 '^list:1: no command'
+check "an entry without a command is reported with its line" 2 '^list:1: no command'
 
 exit $bad
