--- a/tests/soak/caller.cc
+++ b/tests/soak/caller.cc
@@ -31,8 +31,8 @@
 
 /* Records the response in the ledger. Returns its status, or 0 without a
  * response. */
-int record_answer(const std::string &response, const std::string &id,
-		  Ledger &ledger)
+int report_response(const std::string &response, const std::string &id,
+		    Ledger &ledger)
 {
 	std::string response_id = header(response, "X-Request-Id");
 	int status;
@@ -57,17 +57,17 @@
 void Caller::look_up()
 {
 	for (int i = 0; i < 3; i++) {
-		int at = dial({ vms[random_below((unsigned)vms.size())],
-				DIRECTORY_PORT },
-			      LOOKUP_MS);
+		int conn = dial({ vms[random_below((unsigned)vms.size())],
+				  DIRECTORY_PORT },
+				LOOKUP_MS);
 		std::string left, text;
 
-		if (at < 0)
+		if (conn < 0)
 			continue;
-		if (send_all(at, "GET /v1/resolve?name=h.x&region=r&zone=z "
-				 "HTTP/1.1\r\nHost: x\r\n\r\n"))
-			text = body_of(read_message(at, left));
-		close(at);
+		if (send_all(conn, "GET /v1/resolve?name=h.x&region=r&zone=z "
+				   "HTTP/1.1\r\nHost: x\r\n\r\n"))
+			text = body_of(read_message(conn, left));
+		close(conn);
 		resolved_vms.clear();
 		for (const std::string &vm : vms)
 			if (text.find("\"" + vm + ":") != std::string::npos)
@@ -111,7 +111,7 @@
 	if (send_all(fd, request_text(route, id, body)) &&
 	    random_below(ABANDON_ONE_IN))
 		response = read_message(fd, rest);
-	if (!record_answer(response, id, ledger) ||
+	if (!report_response(response, id, ledger) ||
 	    header(response, "Connection") == "close" ||
 	    !random_below(CLOSE_ONE_IN)) {
 		close(fd);
@@ -132,16 +132,16 @@
 int Caller::send_single(const std::string &vm, const Route &route,
 			const std::string &id, Ledger &ledger)
 {
-	int at = dial({ vm, FRONT_PORT }, DEADLINE_MS);
+	int conn = dial({ vm, FRONT_PORT }, DEADLINE_MS);
 	std::string left;
 	int status = 0;
 
-	if (at < 0)
+	if (conn < 0)
 		return 0;
 	ledger.record_sent(id, { route.kind, route.name, "", Clock::now() });
-	if (send_all(at, request_text(route, id, "")))
-		status = record_answer(read_message(at, left), id, ledger);
-	close(at);
+	if (send_all(conn, request_text(route, id, "")))
+		status = report_response(read_message(conn, left), id, ledger);
+	close(conn);
 	return status;
 }
 
--- a/tests/soak/ledger.cc
+++ b/tests/soak/ledger.cc
@@ -160,7 +160,7 @@
 {
 	std::lock_guard<std::mutex> lock(mutex);
 	RequestRecord &record = requests_by_id[id];
-	bool known = false;
+	bool sent_by_target = false;
 
 	status_counts[status]++;
 	record.status = status;
@@ -175,8 +175,9 @@
 	if (status / 100 != 2)
 		return;
 	for (const Run &run : record.runs)
-		known |= run.stamp == stamp && body == response_body(id, stamp);
-	if (!known)
+		sent_by_target |=
+			run.stamp == stamp && body == response_body(id, stamp);
+	if (!sent_by_target)
 		add_violation(id + " got a 2xx response with stamp '" + stamp +
 			      "' and " + std::to_string(body.size()) +
 			      " bytes, which no target sent");
--- a/tests/soak/net.h
+++ b/tests/soak/net.h
@@ -84,7 +84,7 @@
 
 /* Makes the following close() send a reset, so that the peer sees a broken
  * connection. */
-inline void reset(int fd)
+inline void set_reset_on_close(int fd)
 {
 	linger now{ 1, 0 };
 
--- a/tests/soak/proxy.h
+++ b/tests/soak/proxy.h
@@ -75,8 +75,8 @@
 
 		while ((n = recv(from, buf, sizeof(buf), 0)) > 0)
 			if (!forward_chunk(to, buf, n, to_target)) {
-				reset(from);
-				reset(to);
+				set_reset_on_close(from);
+				set_reset_on_close(to);
 				break;
 			}
 		shutdown(from, SHUT_RDWR);
@@ -88,7 +88,7 @@
 		int fd = dial(target_address, 20000, from);
 
 		if (fd < 0 || link_mode == LinkMode::Reset) {
-			reset(caller);
+			set_reset_on_close(caller);
 			if (fd >= 0)
 				close(fd);
 			return;
--- a/tests/soak/store.cc
+++ b/tests/soak/store.cc
@@ -74,7 +74,7 @@
 	return rev;
 }
 
-void Store::forget_history()
+void Store::compact_history()
 {
 	std::lock_guard<std::mutex> lock(mutex);
 
@@ -152,7 +152,7 @@
 			    std::to_string(rev) + "}");
 }
 
-std::string Store::answer(const std::string &request)
+std::string Store::respond(const std::string &request)
 {
 	if (request.rfind("GET /v1/kv-range?", 0) == 0)
 		return range(request);
@@ -174,7 +174,7 @@
 			return;
 		calls++;
 		if (now == StoreMode::Reset) {
-			reset(fd);
+			set_reset_on_close(fd);
 			return;
 		}
 		if (now == StoreMode::Silent)
@@ -182,7 +182,7 @@
 		if (now == StoreMode::Slow)
 			usleep(SLOW_MS * 1000);
 		text = now == StoreMode::Busy ? http(503, "", "")
-					      : answer(request);
+					      : respond(request);
 		/* A lost response also blocks all later ones on its
 		 * connection. */
 		if (now == StoreMode::Lost)
--- a/tests/soak/store.h
+++ b/tests/soak/store.h
@@ -51,7 +51,7 @@
 	/* Returns the revision of the write. */
 	uint64_t write(const std::string &key, const std::string &value);
 	uint64_t remove(const std::string &key);
-	void forget_history();
+	void compact_history();
 	/* Applies from now on to the VMs with these addresses; to all if
 	 * empty. */
 	void set_mode(StoreMode mode, std::set<std::string> vms = {});
@@ -70,7 +70,7 @@
 	};
 
 	void serve(int fd, const std::string &ip);
-	std::string answer(const std::string &request);
+	std::string respond(const std::string &request);
 	std::string range(const std::string &request);
 	std::string watch(const std::string &request);
 	StoreMode mode_for(const std::string &ip);
--- a/tests/soak/target.cc
+++ b/tests/soak/target.cc
@@ -140,7 +140,7 @@
 	usleep((useconds_t)work_ms() * 1000 *
 	       (now == Mode::Slow ? SLOW_FACTOR : 1));
 	if (now == Mode::Reset) {
-		reset(fd);
+		set_reset_on_close(fd);
 		return false;
 	}
 	Notice notice = current_notice;
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -295,7 +295,7 @@
 
 	if (which == 5) {
 		log_event("store compacts its history");
-		store->forget_history();
+		store->compact_history();
 		return;
 	}
 	if (random_below(2))
