--- a/tests/soak/notices.h
+++ b/tests/soak/notices.h
@@ -15,15 +15,15 @@
 enum class Notice { None, Limit, Leaving, RetryAfter };
 
 constexpr double LIMIT = 2;
-constexpr int REST_S = 2;
+constexpr int RETRY_AFTER_S = 2;
 
 /*
  * Records which notices one target sent to which VM, and checks that the VMs
  * honour them: the limit holds over all VMs that received it, no request
- * arrives from a VM after a leaving notice, and at most MAX_IN_REST arrive
- * within a Retry-After. may_have_missed tells whether the VM, or its link to
- * the target, was disturbed since a time, so that the notice may have been
- * lost.
+ * arrives from a VM after a leaving notice, and at most MAX_DURING_RETRY_AFTER
+ * arrive within a Retry-After. may_have_missed tells whether the VM, or its
+ * link to the target, was disturbed since a time, so that the notice may have
+ * been lost.
  */
 class NoticeChecker
 {
@@ -37,24 +37,24 @@
 	}
 
 	/* A request has arrived from the VM. */
-	void arrived(const std::string &vm)
+	void record_request(const std::string &vm)
 	{
 		std::lock_guard<std::mutex> lock(mutex);
 		Time now = Clock::now();
 		VmState &t = vm_states[vm];
 
-		if (is_after(t.leaving, now, DRAIN_S) &&
-		    !may_have_missed(vm, t.leaving))
+		if (elapsed(t.leaving_since, now, DRAIN_S) &&
+		    !may_have_missed(vm, t.leaving_since))
 			report_violation(
 				vm, "sent a request after the leaving notice");
-		if (is_after(t.rest, now, NOTICE_DELAY_S) &&
-		    !is_after(t.rest, now, REST_S) &&
-		    !may_have_missed(vm, t.rest) &&
-		    ++t.requests_in_rest > MAX_IN_REST)
+		if (elapsed(t.retry_after_since, now, NOTICE_DELAY_S) &&
+		    !elapsed(t.retry_after_since, now, RETRY_AFTER_S) &&
+		    !may_have_missed(vm, t.retry_after_since) &&
+		    ++t.requests_after_notice > MAX_DURING_RETRY_AFTER)
 			report_violation(
 				vm, "sent requests within the Retry-After");
-		if (is_after(t.limit, now, NOTICE_DELAY_S) &&
-		    !may_have_missed(vm, t.limit))
+		if (elapsed(t.limit_since, now, NOTICE_DELAY_S) &&
+		    !may_have_missed(vm, t.limit_since))
 			check_limit(now);
 	}
 
@@ -65,11 +65,11 @@
 		Time now = Clock::now();
 		VmState &t = vm_states[vm];
 
-		if (notice == Notice::Leaving && t.leaving == Time{})
-			t.leaving = now;
+		if (notice == Notice::Leaving && t.leaving_since == Time{})
+			t.leaving_since = now;
 		if (notice == Notice::RetryAfter) {
-			t.rest = now;
-			t.requests_in_rest = 0;
+			t.retry_after_since = now;
+			t.requests_after_notice = 0;
 		}
 		if (notice != Notice::Limit) {
 			clear_limits();
@@ -77,21 +77,21 @@
 		}
 		if (limited_since == Time{})
 			limited_since = now;
-		if (t.limit == Time{})
-			t.limit = now;
+		if (t.limit_since == Time{})
+			t.limit_since = now;
 	}
 
       private:
 	struct VmState {
-		Time leaving{}, rest{}, limit{};
-		unsigned requests_in_rest = 0;
+		Time leaving_since{}, retry_after_since{}, limit_since{};
+		unsigned requests_after_notice = 0;
 	};
 
 	static constexpr double NOTICE_DELAY_S = 0.5, DRAIN_S = 2, STABLE_S = 3,
 				WINDOW_S = 4;
-	static constexpr unsigned MAX_IN_REST = 2;
+	static constexpr unsigned MAX_DURING_RETRY_AFTER = 2;
 
-	static bool is_after(Time at, Time now, double s)
+	static bool elapsed(Time at, Time now, double s)
 	{
 		return at != Time{} && seconds(now - at) > s;
 	}
@@ -101,12 +101,12 @@
 		limited_since = Time{};
 		counted_requests.clear();
 		for (auto &[vm, t] : vm_states)
-			t.limit = Time{};
+			t.limit_since = Time{};
 	}
 
 	void check_limit(Time now)
 	{
-		if (!is_after(limited_since, now, STABLE_S))
+		if (!elapsed(limited_since, now, STABLE_S))
 			return;
 		counted_requests.push_back(now);
 		while (seconds(now - counted_requests.front()) > WINDOW_S)
--- a/tests/soak/target.cc
+++ b/tests/soak/target.cc
@@ -169,14 +169,14 @@
 	ledger.record_arrival(id, config.service);
 	if (!expected.empty() && expected != config.id)
 		return send_all(fd, http(421, not_run, ""));
-	notices.arrived(vm);
+	notices.record_request(vm);
 	if (current_notice == Notice::RetryAfter) {
 		notices.record_response(vm, Notice::RetryAfter);
-		return send_all(fd,
-				http(503,
-				     not_run + "Retry-After: " +
-					     std::to_string(REST_S) + "\r\n",
-				     ""));
+		return send_all(fd, http(503,
+					 not_run + "Retry-After: " +
+						 std::to_string(RETRY_AFTER_S) +
+						 "\r\n",
+					 ""));
 	}
 	if (running >= SLOTS + QUEUE ||
 	    (mode == Mode::Shed && chance(SHED_SHARE)))
--- a/tests/soak/vm.h
+++ b/tests/soak/vm.h
@@ -64,7 +64,7 @@
 			return;
 		if (starts++ == 1)
 			write_settings(seeds);
-		disturb();
+		mark_disturbed();
 		int log = open((dir + "/" + ip + ".log").c_str(),
 			       O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
 
@@ -83,7 +83,7 @@
 	{
 		if (pid > 0)
 			kill(pid, signal_number);
-		disturb();
+		mark_disturbed();
 		if (signal_number == SIGSTOP)
 			paused = true;
 		if (signal_number == SIGCONT) {
@@ -92,12 +92,12 @@
 		}
 	}
 
-	/* Whether the process has exited; its wait status is in ended_with. */
-	bool has_ended()
+	/* Whether the process has exited; its wait status is in wait_status. */
+	bool has_exited()
 	{
 		if (pid <= 0)
 			return true;
-		if (waitpid(pid, &ended_with, WNOHANG) != pid)
+		if (waitpid(pid, &wait_status, WNOHANG) != pid)
 			return false;
 		pid = -1;
 		return true;
@@ -107,15 +107,15 @@
 	{
 		if (pid <= 0)
 			return;
-		disturb();
+		mark_disturbed();
 		kill(pid, SIGKILL);
-		waitpid(pid, &ended_with, 0);
+		waitpid(pid, &wait_status, 0);
 		pid = -1;
 	}
 
 	const std::string ip;
 	const std::string centre;
-	int ended_with = 0;
+	int wait_status = 0;
 	unsigned starts = 0;
 	/* Whether the settings allow repeats at all. */
 	bool repeats = true;
@@ -125,7 +125,7 @@
 	std::atomic<Clock::rep> disturbed_at{ 0 };
 
       private:
-	void disturb()
+	void mark_disturbed()
 	{
 		disturbed_at = Clock::now().time_since_epoch().count();
 	}
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -251,7 +251,7 @@
 						 at = Clock::now()] {
 			Time since = std::max(at, vm.resumed_at);
 
-			if (!vm.has_ended() && start == vm.starts &&
+			if (!vm.has_exited() && start == vm.starts &&
 			    !vm.paused &&
 			    seconds(Clock::now() - since) >= GRACE_S &&
 			    options.bounds)
@@ -527,8 +527,8 @@
 	for (auto &vm : vms)
 		vm->send(SIGTERM);
 	for (auto &vm : vms)
-		if (!wait_until([&] { return vm->has_ended(); }) ||
-		    vm->ended_with)
+		if (!wait_until([&] { return vm->has_exited(); }) ||
+		    vm->wait_status)
 			ledger.report_violation(vm->ip +
 						" did not exit cleanly");
 }
