--- a/entry/idle.c
+++ b/entry/idle.c
@@ -16,7 +16,7 @@
  * A target without a request for this long is logged: the span over which
  * operators measure the floor.
  */
-#define IDLE_AFTER TR_SEC(2)
+#define IDLE_TIME TR_SEC(2)
 /* How often all targets are checked. */
 #define LOOK_EVERY TR_MSEC(200)
 /* How often the floor of all services is checked. */
@@ -60,7 +60,7 @@
 };
 
 /*
- * Targets of a service that had no request for IDLE_AFTER, counted by their
+ * Targets of a service that had no request for IDLE_TIME, counted by their
  * standing with the floor.
  */
 struct idle_targets {
@@ -178,7 +178,7 @@
 		tr_floor_check_add(&checks[row->service], row, i,
 				   tr_gray_probability(&row->gray, now),
 				   row->full_until <= now, now);
-		if (now - row->used_at >= IDLE_AFTER)
+		if (now - row->used_at >= IDLE_TIME)
 			idle_targets[row->service].count[tr_floor_target_state(
 				&checks[row->service], row, now)]++;
 	}
@@ -202,8 +202,8 @@
 	for (unsigned i = 0; i < e->roster.count; i++) {
 		struct tr_instance *row = &e->roster.rows[i];
 		bool is_idle = row->used && !row->gone && !row->leaving &&
-			       !row->away && now - row->used_at >= IDLE_AFTER &&
-			       now - row->known_since >= IDLE_AFTER;
+			       !row->away && now - row->used_at >= IDLE_TIME &&
+			       now - row->known_since >= IDLE_TIME;
 
 		if (is_idle && !row->idle_logged &&
 		    is_logging_vm(&e->members, row->hash, now))
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -29,9 +29,9 @@
 
 #define EXIT_USAGE 2
 /* Period of step(): a third of the shortest period of what it runs. */
-#define STEP_PERIOD TR_MSEC(25)
+#define TIME_STEP TR_MSEC(25)
 /* The same until this VM can serve, because callers wait for that. */
-#define STEP_PERIOD_AT_START TR_MSEC(5)
+#define TIME_STEP_AT_START TR_MSEC(5)
 /* How often the settings file is checked for a change without a signal. */
 #define SETTINGS_PERIOD TR_SEC(1)
 /*
@@ -203,8 +203,8 @@
 	}
 	if (d->stop_since)
 		step_stop(d, now);
-	loop_add_timer(e->loop, e->ready ? STEP_PERIOD : STEP_PERIOD_AT_START,
-		       step, d);
+	loop_add_timer(e->loop, e->ready ? TIME_STEP : TIME_STEP_AT_START, step,
+		       d);
 }
 
 static void before_poll(void *ctx)
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -35,7 +35,7 @@
 /*
  * A failure of a target with a lower chance of being gray is reported at once.
  */
-#define KNOWN_GRAY_RISK 0.5
+#define GRAY_THRESHOLD 0.5
 
 static const char *const end_names[] = {
 	"answered", "failed",	 "refused",   "unreached",
@@ -68,7 +68,7 @@
 	bool is_first_failure =
 		symptom == TR_SYMPTOM_FAILED &&
 		tr_mechanism_enabled(TR_MECH_FIRST_FAILURE_NEWS) &&
-		tr_gray_probability(&row->gray, now) < KNOWN_GRAY_RISK;
+		tr_gray_probability(&row->gray, now) < GRAY_THRESHOLD;
 
 	row->own.count[symptom]++;
 	tr_roster_mark_dirty(&u->e->roster, row);
--- a/lib/detector.c
+++ b/lib/detector.c
@@ -23,7 +23,7 @@
  * for only a part of that time will have answered one.
  */
 #define PROBES_PER_DETECTION 16
-#define PROBE_INTERVAL_MIN   TR_MSEC(10)
+#define MIN_INTERVAL	     TR_MSEC(10)
 #define PROBE_INTERVAL_MAX   TR_MSEC(2000)
 
 #define HEALTH_FAILURES		 2
@@ -49,8 +49,8 @@
 		target->probe_interval = target->probe_interval / 4 * 3;
 	else
 		target->probe_interval *= 2;
-	if (target->probe_interval < PROBE_INTERVAL_MIN * vms)
-		target->probe_interval = PROBE_INTERVAL_MIN * vms;
+	if (target->probe_interval < MIN_INTERVAL * vms)
+		target->probe_interval = MIN_INTERVAL * vms;
 	if (target->probe_interval > PROBE_INTERVAL_MAX * vms)
 		target->probe_interval = PROBE_INTERVAL_MAX * vms;
 }
--- a/lib/floor.c
+++ b/lib/floor.c
@@ -38,7 +38,7 @@
 /* From this failure ratio on, operators may count any subset of the targets. */
 #define HIGH_FAILURE_RATIO 0.1
 /* Recent outcomes per target from which on the failure ratio is reliable. */
-#define LEAST_WORK 1.0
+#define MIN_WORK 1.0
 /* A request is spread over this time, or until its deadline if that is sooner.
  */
 #define SPREAD_OVER TR_MSEC(185)
@@ -167,7 +167,7 @@
 			    const struct tr_floor_load *load)
 {
 	return load->outcomes >=
-	       LEAST_WORK * (check->active + check->idle_healthy);
+	       MIN_WORK * (check->active + check->idle_healthy);
 }
 
 /* Returns how many more targets must be used. Those with a request in flight
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -74,7 +74,7 @@
  * VMs that watch the platform, in different data centres if there are several:
  * with two, updates still arrive while one is frozen or cut off.
  */
-#define READERS 2
+#define READERS_PER_SERVICE 2
 
 static struct tr_node *add_node(struct tr_membership *m, uint32_t ip)
 {
@@ -562,10 +562,11 @@
  */
 bool tr_membership_is_reader(const struct tr_membership *m, apr_time_t now)
 {
-	const struct tr_node *chosen[READERS];
+	const struct tr_node *chosen[READERS_PER_SERVICE];
 
-	unsigned readers =
-		tr_mechanism_enabled(TR_MECH_TWO_READERS) ? READERS : 1;
+	unsigned readers = tr_mechanism_enabled(TR_MECH_TWO_READERS)
+				   ? READERS_PER_SERVICE
+				   : 1;
 
 	for (unsigned n = 0; n < readers; n++) {
 		chosen[n] = best_reader(m, chosen, n, true, now);
--- a/lib/permit.c
+++ b/lib/permit.c
@@ -11,7 +11,7 @@
 #include "member.h"
 
 #define HOLD_FIRST	    TR_SEC(10)
-#define HOLD_MOST	    TR_SEC(300)
+#define MAX_HOLD	    TR_SEC(300)
 #define EJECT_COUNT_RESET   TR_SEC(300)
 #define PROBATION_SUCCESSES 10
 #define PROBATION_MAX	    TR_SEC(60)
@@ -170,9 +170,9 @@
 {
 	apr_time_t hold = HOLD_FIRST;
 
-	for (unsigned i = 1; i < target->eject_count && hold < HOLD_MOST; i++)
+	for (unsigned i = 1; i < target->eject_count && hold < MAX_HOLD; i++)
 		hold *= 2;
-	return hold < HOLD_MOST ? hold : HOLD_MOST;
+	return hold < MAX_HOLD ? hold : MAX_HOLD;
 }
 
 /*
@@ -205,8 +205,8 @@
 }
 
 /*
- * Orders targets by the evidence against them, and by id if equal, so that all
- * VMs choose alike.
+ * Orders targets by the evidence against them, and by id if equal, so that
+ * cell_sum VMs choose alike.
  */
 static bool has_more_evidence(const struct tr_target *a,
 			      const struct tr_target *b)
@@ -444,10 +444,10 @@
 }
 
 /*
- * Applies the owner's orders; a message always holds all of them. They last
- * until TR_ORDER_TTL after the time, on this VM's own clock, at which it sent
- * the message that the owner echoes. A datagram that was buffered while this
- * process was paused has therefore expired when it is read.
+ * Applies the owner's orders; a message always holds cell_sum of them. They
+ * last until TR_ORDER_TTL after the time, on this VM's own clock, at which it
+ * sent the message that the owner echoes. A datagram that was buffered while
+ * this process was paused has therefore expired when it is read.
  */
 void tr_permit_receive_orders(struct tr_board *board, struct tr_service *svc,
 			      const struct tr_peer *peer,
--- a/lib/place.c
+++ b/lib/place.c
@@ -71,7 +71,7 @@
  */
 #define SUSPECT_RISK 0.5
 /* Share of the expected work time that must be left after the wait. */
-#define MIN_WORK_SHARE 1.0
+#define MIN_WORK 1.0
 /*
  * Retry-After in us when no target is known, and its maximum when targets have
  * set rate limits so low that the next request may be far away.
@@ -196,7 +196,7 @@
 		return true;
 	if (req->standing_queue && req->aim_left > req->expected_work)
 		left = req->aim_left;
-	return (double)p->wait + (double)req->expected_work * MIN_WORK_SHARE <=
+	return (double)p->wait + (double)req->expected_work * MIN_WORK <=
 	       (double)left;
 }
 
--- a/lib/send_limit.c
+++ b/lib/send_limit.c
@@ -31,7 +31,7 @@
  * Lowest rate, in requests a second, for a target whose limit is 0: only its
  * responses tell that the limit has been lifted.
  */
-#define MIN_RATE 0.1
+#define MIN_LIMIT_RATE 0.1
 /*
  * A response without a limit clears it only this long after the last one that
  * set it, since responses may overtake each other.
@@ -96,7 +96,7 @@
  */
 double tr_send_limit_rate(const struct tr_send_limit *l, double heard_share)
 {
-	return fmax(l->rate, MIN_RATE) * heard_share;
+	return fmax(l->rate, MIN_LIMIT_RATE) * heard_share;
 }
 
 /* Requests that may be sent now; negative if too many were sent. */
--- a/src/bench_slopes.c
+++ b/src/bench_slopes.c
@@ -21,7 +21,8 @@
 #include "member.h"
 #include "service.h"
 
-#define SIZE_COUNT     3
+/* Sizes that each cost is measured at. */
+#define SIZES	       3
 #define CENTRE_COUNT   4
 #define MIN_MEASURE_US 30000.0
 
@@ -73,20 +74,20 @@
 	double sx = 0, sy = 0, sxx = 0, sxy = 0, max_error = 0, max_value = 0;
 	double slope, base;
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		sx += p[i].size;
 		sy += p[i].us;
 		sxx += p[i].size * p[i].size;
 		sxy += p[i].size * p[i].us;
 	}
-	slope = (SIZE_COUNT * sxy - sx * sy) / (SIZE_COUNT * sxx - sx * sx);
-	base = (sy - slope * sx) / SIZE_COUNT;
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	slope = (SIZES * sxy - sx * sy) / (SIZES * sxx - sx * sx);
+	base = (sy - slope * sx) / SIZES;
+	for (int i = 0; i < SIZES; i++) {
 		max_error = fmax(max_error,
 				 fabs(base + slope * p[i].size - p[i].us));
 		max_value = fmax(max_value, p[i].us);
 	}
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		char at[64];
 
 		snprintf(at, sizeof(at), "%s_at_%.0f", name, p[i].size);
@@ -190,10 +191,10 @@
 
 static void bench_step(void)
 {
-	const unsigned sizes[SIZE_COUNT] = { 10, 24, 64 };
-	struct point p[SIZE_COUNT];
+	const unsigned sizes[SIZES] = { 10, 24, 64 };
+	struct point p[SIZES];
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		struct bench *w = bench_new(32, sizes[i]);
 
 		p[i] = (struct point){ sizes[i], measure_us(run_step, w) };
@@ -220,11 +221,11 @@
 
 static void bench_message(void)
 {
-	const unsigned sizes[SIZE_COUNT] = { 3, 24, 64 };
-	struct point p[SIZE_COUNT];
-	struct point bytes[SIZE_COUNT];
+	const unsigned sizes[SIZES] = { 3, 24, 64 };
+	struct point p[SIZES];
+	struct point bytes[SIZES];
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		struct bench *w = bench_new(32, sizes[i]);
 		unsigned rows = (sizes[i] + 2) / 3;
 
@@ -245,10 +246,10 @@
 
 static void bench_cell(void)
 {
-	const size_t sizes[SIZE_COUNT] = { 32, 560, 5600 };
-	struct point p[SIZE_COUNT];
+	const size_t sizes[SIZES] = { 32, 560, 5600 };
+	struct point p[SIZES];
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		struct bench *w = bench_new(sizes[i], 24);
 
 		p[i] = (struct point){ (double)sizes[i],
@@ -304,10 +305,10 @@
 
 static void bench_document_memory(void)
 {
-	const int sizes[SIZE_COUNT] = { 3, 48, 480 };
-	struct point p[SIZE_COUNT];
+	const int sizes[SIZES] = { 3, 48, 480 };
+	struct point p[SIZES];
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		struct bench *w = bench_new(32, 10);
 
 		write_document(w, sizes[i]);
@@ -340,8 +341,8 @@
  * caller. */
 static void bench_datagram(void)
 {
-	const size_t sizes[SIZE_COUNT] = { 200, 400, 800 };
-	struct point p[SIZE_COUNT];
+	const size_t sizes[SIZES] = { 200, 400, 800 };
+	struct point p[SIZES];
 	struct datagrams d = { .addr = { .sin_family = AF_INET } };
 	socklen_t len = sizeof(d.addr);
 
@@ -351,7 +352,7 @@
 	if (bind(d.to, (struct sockaddr *)&d.addr, sizeof(d.addr)) ||
 	    getsockname(d.to, (struct sockaddr *)&d.addr, &len))
 		return;
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		d.len = sizes[i];
 		p[i] = (struct point){ (double)sizes[i],
 				       measure_us(run_datagram, &d) };
@@ -363,11 +364,11 @@
 
 static void bench_routes(void)
 {
-	const int sizes[SIZE_COUNT] = { 3, 48, 480 };
-	struct point parse[SIZE_COUNT];
-	struct point match[SIZE_COUNT];
+	const int sizes[SIZES] = { 3, 48, 480 };
+	struct point parse[SIZES];
+	struct point match[SIZES];
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		struct bench *w = bench_new(32, 10);
 		struct tr_route *routes =
 			calloc((size_t)sizes[i], sizeof(*routes));
@@ -412,10 +413,10 @@
 
 static void bench_queue(void)
 {
-	const uint32_t sizes[SIZE_COUNT] = { 10, 2700, 270000 };
-	struct point p[SIZE_COUNT];
+	const uint32_t sizes[SIZES] = { 10, 2700, 270000 };
+	struct point p[SIZES];
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		struct queue_bench l = { .organisations = sizes[i] };
 
 		tr_queue_init(&l.q, 64);
@@ -449,10 +450,10 @@
 
 static void bench_keys(void)
 {
-	const uint32_t sizes[SIZE_COUNT] = { 1000, 10000, 60000 };
-	struct point p[SIZE_COUNT];
+	const uint32_t sizes[SIZES] = { 1000, 10000, 60000 };
+	struct point p[SIZES];
 
-	for (int i = 0; i < SIZE_COUNT; i++) {
+	for (int i = 0; i < SIZES; i++) {
 		struct key_bench k = { .secret = { { 1 }, { 0 }, 0 } };
 		struct tr_boot boot = { { 1 } };
 
--- a/src/capacity.c
+++ b/src/capacity.c
@@ -13,7 +13,7 @@
 #include "error.h"
 #include "yamlfile.h"
 
-#define SECONDS_PER_DAY 86400.0
+#define SECONDS_IN_DAY 86400.0
 /* Interval of gossip messages to a peer, and while a suspicion is raised. */
 #define GOSSIP_PERIOD_S		2.0
 #define RAISED_GOSSIP_PERIOD_S	0.5
@@ -175,8 +175,8 @@
 	const struct capacity_sizes *z = &m->sizes;
 	const struct capacity_slopes *s = &m->slopes;
 	double changes =
-		z->changes_a_day * l->services / z->services / SECONDS_PER_DAY;
-	double list_changes = 2 * z->restarts_a_day / SECONDS_PER_DAY;
+		z->changes_a_day * l->services / z->services / SECONDS_IN_DAY;
+	double list_changes = 2 * z->restarts_a_day / SECONDS_IN_DAY;
 	struct costs c = { 0 };
 
 	c.gossip_bytes =
--- a/src/explain.c
+++ b/src/explain.c
@@ -11,7 +11,7 @@
 /* Other requests at the same targets are counted from this many seconds before
  * the request's start to as many after its end. A gray failure lasts several
  * seconds, and a hanging target shows only when requests time out. */
-#define OUTCOME_WINDOW_S 3.0
+#define WINDOW_S 3.0
 /* Events of the VM itself count from this many seconds before the start. */
 #define VM_EVENT_WINDOW_S 2.0
 /* A target list is stale if it was not confirmed for longer than this; readers
@@ -87,9 +87,8 @@
 
 		if (line == report->request || !is_event(line, "request") ||
 		    !last_target_is(line, t->id) ||
-		    line->time <
-			    start_time(report->request) - OUTCOME_WINDOW_S ||
-		    start_time(line) > report->request->time + OUTCOME_WINDOW_S)
+		    line->time < start_time(report->request) - WINDOW_S ||
+		    start_time(line) > report->request->time + WINDOW_S)
 			continue;
 		if (!has_failed(line)) {
 			t->answered++;
--- a/src/losses_svg.c
+++ b/src/losses_svg.c
@@ -6,12 +6,13 @@
 
 #include "losses.h"
 
-#define BAR_WIDTH	  14
-#define MARGIN_LEFT	  60
-#define MARGIN_TOP	  24
-#define CHART_HEIGHT	  260
-#define LEGEND_WIDTH	  340
-#define LEGEND_ROW_HEIGHT 18
+#define BAR_WIDTH    14
+#define MARGIN_LEFT  60
+#define MARGIN_TOP   24
+#define CHART_HEIGHT 260
+#define LEGEND_WIDTH 340
+/* Height of a row of the legend. */
+#define ROW 18
 /* Seconds between two ticks of the time axis. */
 #define TICK_S 5
 
@@ -88,9 +89,8 @@
 			out,
 			"<rect x='%u' y='%d' width='10' height='10' "
 			"fill='%s'/><text x='%u' y='%d'>%s</text>\n",
-			x, MARGIN_TOP + c * LEGEND_ROW_HEIGHT, colours[c],
-			x + 16, MARGIN_TOP + c * LEGEND_ROW_HEIGHT + 9,
-			loss_cause_description(c));
+			x, MARGIN_TOP + c * ROW, colours[c], x + 16,
+			MARGIN_TOP + c * ROW + 9, loss_cause_description(c));
 }
 
 /* Returns the SVG text; release it with g_free. */
--- a/src/toucanreel_load.c
+++ b/src/toucanreel_load.c
@@ -18,7 +18,7 @@
 #include "loop.h"
 
 #define TICK_PERIOD	    TR_MSEC(1)
-#define DRAIN_TIMEOUT	    TR_SEC(8)
+#define DRAIN_TIME	    TR_SEC(8)
 #define CLIENT_GRACE_MS	    3000
 #define LOOKUP_LEAD_TIME    TR_MSEC(400)
 #define DEFAULT_DEADLINE_MS 2000
@@ -331,7 +331,7 @@
 				     1e6 / o->rate);
 		load->sending = load->next_arrival < end;
 	}
-	if (!load->sending && (!load->pending || now > end + DRAIN_TIMEOUT)) {
+	if (!load->sending && (!load->pending || now > end + DRAIN_TIME)) {
 		loop_stop(load->standin.loop);
 		return;
 	}
--- a/tests/allowance_load_test.cc
+++ b/tests/allowance_load_test.cc
@@ -19,8 +19,8 @@
 namespace
 {
 
-const apr_time_t STEP = TR_MSEC(5);
-const apr_time_t TELL_EVERY = TR_MSEC(40);
+const apr_time_t TIME_STEP = TR_MSEC(5);
+const apr_time_t REPORT_INTERVAL = TR_MSEC(40);
 const apr_time_t REPORT_DELAY = TR_MSEC(100);
 const apr_time_t RESTART_TAKES = TR_MSEC(500);
 /* Time without a message after which a VM counts as silent. */
@@ -206,7 +206,9 @@
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
 
-			if ((now / STEP + i) % (TELL_EVERY / STEP) || !runs(vm))
+			if ((now / TIME_STEP + i) %
+				    (REPORT_INTERVAL / TIME_STEP) ||
+			    !runs(vm))
 				continue;
 			messages.push_back({ now + report_delay, i, vm.life,
 					     vm.side, vm.allowance.own });
@@ -256,10 +258,10 @@
 		some_silent |= may_have_silent();
 
 		while (now < end) {
-			now += STEP;
+			now += TIME_STEP;
 			exchange_reports();
 			send_repeats();
-			due += a_second * (double)STEP / 1e6;
+			due += a_second * (double)TIME_STEP / 1e6;
 			for (; due >= 1; due--) {
 				requests.push_back(now);
 				if (!any_up(vms.size()))
--- a/tests/crash_path_test.cc
+++ b/tests/crash_path_test.cc
@@ -20,7 +20,7 @@
 constexpr auto RESTART_AFTER = std::chrono::milliseconds(800);
 /* By then every reachable VM must know of the third target that exited. */
 constexpr auto BOUND = std::chrono::seconds(3);
-constexpr unsigned MAX_CRASHES_AFTER_BOUND = 3;
+constexpr unsigned MAX_AFTER_BOUND = 3;
 constexpr int DEADLINE_MS = 2500;
 
 /*
@@ -347,7 +347,7 @@
 TEST_F(CrashPath, AReadThatCrashesTargetsIsSoonRefused)
 {
 	crash_three("/read/fall");
-	EXPECT_LE(count_crashes(24, "/read/fall"), MAX_CRASHES_AFTER_BOUND);
+	EXPECT_LE(count_crashes(24, "/read/fall"), MAX_AFTER_BOUND);
 	for (unsigned i = 0; i < VMS; i++)
 		EXPECT_EQ(request_status(i, "/read/other"), 200);
 	/* Nothing has run, and a quick retry is of no use. */
@@ -368,8 +368,7 @@
 TEST_F(CrashPath, AnOrderThatCrashesTargetsIsSoonRefused)
 {
 	crash_three("/order/fall", "body");
-	EXPECT_LE(count_crashes(24, "/order/fall", "body"),
-		  MAX_CRASHES_AFTER_BOUND);
+	EXPECT_LE(count_crashes(24, "/order/fall", "body"), MAX_AFTER_BOUND);
 	for (unsigned i = 0; i < VMS; i++)
 		EXPECT_EQ(request_status(i, "/order/other", "body"), 200);
 }
@@ -385,7 +384,7 @@
 			return request_status(i, "/read/warm") == 200;
 		}));
 	}
-	EXPECT_LE(count_crashes(24, "/read/fall"), MAX_CRASHES_AFTER_BOUND);
+	EXPECT_LE(count_crashes(24, "/read/fall"), MAX_AFTER_BOUND);
 }
 
 /*
--- a/tests/fatal_load_test.cc
+++ b/tests/fatal_load_test.cc
@@ -17,7 +17,7 @@
 {
 
 constexpr uint64_t DEADLY = 7, POPULAR = 8;
-constexpr apr_time_t STEP = TR_MSEC(10);
+constexpr apr_time_t TIME_STEP = TR_MSEC(10);
 /* How the daemon paces its reports. */
 constexpr apr_time_t PERIOD = TR_MSEC(650), SUMMARY = TR_MSEC(250);
 constexpr unsigned ROWS = 8, AGAIN = 2;
@@ -26,7 +26,7 @@
  * be sent after it.
  */
 constexpr apr_time_t BOUND = TR_SEC(3);
-constexpr unsigned MOST_AFTER_BOUND = 3;
+constexpr unsigned MAX_AFTER_BOUND = 3;
 
 struct Load {
 	unsigned vms = 44;
@@ -48,7 +48,7 @@
 };
 
 /* How often a request that waits for another is checked. */
-constexpr apr_time_t WAIT_STEP = TR_MSEC(50);
+constexpr apr_time_t WAIT_POLL_PERIOD = TR_MSEC(50);
 
 /* An attempt that will end its target, or a request that waits until ends. */
 struct Running {
@@ -77,8 +77,8 @@
 
 	void play(apr_time_t span)
 	{
-		for (apr_time_t end = now + span; now < end; now += STEP) {
-			if (chance(load.rate * (double)STEP / 1e6))
+		for (apr_time_t end = now + span; now < end; now += TIME_STEP) {
+			if (chance(load.rate * (double)TIME_STEP / 1e6))
 				send_deadly();
 			retry_waiting();
 			end_due();
@@ -101,7 +101,8 @@
 			refused++;
 			return;
 		case TR_FATAL_WAIT:
-			waiting.push_back({ vm, identity, 0, 0, now + WAIT_STEP,
+			waiting.push_back({ vm, identity, 0, 0,
+					    now + WAIT_POLL_PERIOD,
 					    may_repeat });
 			return;
 		case TR_FATAL_TRY:
@@ -290,7 +291,7 @@
 
 	fleet.play(TR_SEC(50));
 	ASSERT_GT(fleet.third_ended, 0) << what << load.seed;
-	EXPECT_LE(fleet.sent_since(fleet.third_ended + BOUND), MOST_AFTER_BOUND)
+	EXPECT_LE(fleet.sent_since(fleet.third_ended + BOUND), MAX_AFTER_BOUND)
 		<< what << " seed " << load.seed;
 	EXPECT_GT(fleet.refused, 10u) << what << " seed " << load.seed;
 }
@@ -333,7 +334,7 @@
 		if (!fleet.third_ended)
 			continue;
 		EXPECT_LE(fleet.sent_since(fleet.third_ended + BOUND),
-			  MOST_AFTER_BOUND)
+			  MAX_AFTER_BOUND)
 			<< seed;
 	}
 }
@@ -352,7 +353,7 @@
 		fleet.restart_all();
 		at = fleet.now;
 		fleet.play(TR_SEC(30));
-		EXPECT_LE(fleet.sent_since(at + BOUND), MOST_AFTER_BOUND)
+		EXPECT_LE(fleet.sent_since(at + BOUND), MAX_AFTER_BOUND)
 			<< seed;
 	}
 }
@@ -375,7 +376,7 @@
 			fleet.send_deadly();
 			fleet.play(TR_SEC(2));
 		}
-		EXPECT_LE(fleet.sent_since(third + BOUND), MOST_AFTER_BOUND)
+		EXPECT_LE(fleet.sent_since(third + BOUND), MAX_AFTER_BOUND)
 			<< seed;
 	}
 }
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -23,7 +23,7 @@
 namespace
 {
 
-const apr_time_t STEP = TR_MSEC(5);
+const apr_time_t TIME_STEP = TR_MSEC(5);
 const apr_time_t WINDOW = TR_SEC(2);
 const apr_time_t USUAL = TR_MSEC(250);
 const apr_time_t AIM = TR_MSEC(1200);
@@ -37,9 +37,8 @@
 /* A floor's request so soon after another one to the same target gives no new
  * evidence. */
 const apr_time_t DUPLICATE_WITHIN = TR_MSEC(100);
-/* A report may be this late, so that a request seems younger to others than it
- * is. */
-const apr_time_t REPORT_DELAY = TR_MSEC(50);
+/* A report may be this late, so that a request seems younger to others. */
+const apr_time_t REPORT_TOLERANCE = TR_MSEC(50);
 
 struct Target {
 	bool gray = false;
@@ -224,7 +223,7 @@
 	{
 		bool link_down =
 			plan.link_faults && now % TR_SEC(10) < TR_SEC(5);
-		bool begins = link_down && now % TR_SEC(10) < STEP;
+		bool begins = link_down && now % TR_SEC(10) < TIME_STEP;
 
 		for (Target &t : targets) {
 			if (begins)
@@ -239,7 +238,7 @@
 			t.gray = !t.gray;
 			t.next_change_at = now + draw_spell_length(t.gray);
 		}
-		if (now % TR_SEC(plan.only_joint ? 20 : 10) < STEP)
+		if (now % TR_SEC(plan.only_joint ? 20 : 10) < TIME_STEP)
 			change_together();
 	}
 
@@ -544,14 +543,14 @@
 					   : "share seemed kept by the mean";
 		}
 		if (row->failed_at > row->used_at &&
-		    row->failed_at > t.newest_at + REPORT_DELAY)
+		    row->failed_at > t.newest_at + REPORT_TOLERANCE)
 			return !t.newest_answered
 				       ? "newest request failed, reported late"
 			       : row->failed_at - t.newest_at < WINDOW
 				       ? "end of an older request that hung"
 				       : "older request hung, a later one was "
 					 "answered";
-		if (row->used_at > t.newest_at + REPORT_DELAY)
+		if (row->used_at > t.newest_at + REPORT_TOLERANCE)
 			return t.newest_answered
 				       ? "answer counted as a new request"
 				       : "request never arrived, or its report "
@@ -650,19 +649,19 @@
 		double credit = 0;
 
 		while (now < until) {
-			now += STEP;
+			now += TIME_STEP;
 			change_states();
 			receive_messages();
 			advance_requests();
 			for (auto &vm : vms)
 				tr_roster_step(&vm->e.roster, now);
-			credit += plan.rate * (double)STEP / 1e6;
+			credit += plan.rate * (double)TIME_STEP / 1e6;
 			for (; credit >= 1; credit--) {
 				requests++;
 				send(tr_random_below(&random, callers()), {});
 			}
 			send_reports();
-			if (now % TR_MSEC(250) < STEP &&
+			if (now % TR_MSEC(250) < TIME_STEP &&
 			    until - now < length / 2)
 				count();
 		}
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -18,7 +18,7 @@
 namespace
 {
 
-const apr_time_t STEP = TR_MSEC(5);
+const apr_time_t TIME_STEP = TR_MSEC(5);
 const apr_time_t WINDOW = TR_SEC(2);
 const apr_time_t HANGS_FOR = TR_SEC(2);
 
@@ -274,16 +274,18 @@
 
 		rate = per_second;
 		while (now < end) {
-			now += STEP;
+			now += TIME_STEP;
 			change_states();
 			advance_requests();
 			tr_roster_step(&roster, now);
-			credit += per_second * (double)STEP / 1e6;
+			credit += per_second * (double)TIME_STEP / 1e6;
 			for (; credit >= 1; credit--)
 				send();
-			if (now % TR_MSEC(500) < STEP && end - now < length / 2)
+			if (now % TR_MSEC(500) < TIME_STEP &&
+			    end - now < length / 2)
 				check_window(counted);
-			if (now % TR_MSEC(500) < STEP && end - now < length / 2)
+			if (now % TR_MSEC(500) < TIME_STEP &&
+			    end - now < length / 2)
 				check_all_vms_end();
 		}
 	}
--- a/tests/group_test.cc
+++ b/tests/group_test.cc
@@ -13,11 +13,11 @@
 namespace
 {
 
-const unsigned CENTRES = 6;
+const unsigned CENTRE_COUNT = 6;
 
 std::string centre_of(uint32_t ip)
 {
-	return "dc-" + std::to_string(ip % CENTRES);
+	return "dc-" + std::to_string(ip % CENTRE_COUNT);
 }
 
 /* One VM's view of a fleet of which it has heard from all VMs. */
@@ -93,7 +93,7 @@
 	for (unsigned fleet : { 120u, 442u }) {
 		View view(7, fleet);
 
-		EXPECT_EQ(view.m.groups_count % CENTRES, 0u);
+		EXPECT_EQ(view.m.groups_count % CENTRE_COUNT, 0u);
 		EXPECT_LE(view.m.near_count, 60u);
 		EXPECT_LE(tr_membership_period(&view.m, view.now),
 			  TR_MSEC(1500));
@@ -163,7 +163,8 @@
 		taken[a.home("dc-5", target)]++;
 		EXPECT_EQ(a.home("dc-2", target), b.home("dc-2", target));
 	}
-	EXPECT_EQ(taken.size(), a.m.groups_count / CENTRES * (CENTRES - 1));
+	EXPECT_EQ(taken.size(),
+		  a.m.groups_count / CENTRE_COUNT * (CENTRE_COUNT - 1));
 	for (const auto &[name, n] : taken)
 		EXPECT_GT(n, 100 / taken.size() / 2);
 }
--- a/tests/noise_load_test.cc
+++ b/tests/noise_load_test.cc
@@ -12,8 +12,8 @@
 namespace
 {
 
-constexpr apr_time_t TICK = TR_MSEC(10), STEP = TR_MSEC(50);
-constexpr apr_time_t STALL = TR_MSEC(500), DEADLINE = TR_MSEC(250);
+constexpr apr_time_t TICK = TR_MSEC(10), TIME_STEP = TR_MSEC(50);
+constexpr apr_time_t STALL_TIME = TR_MSEC(500), DEADLINE = TR_MSEC(250);
 constexpr unsigned TARGETS = 10;
 
 struct Noise {
@@ -61,15 +61,15 @@
 	{
 		unsigned ejected = 0;
 
-		for (apr_time_t t = 0; t < span; t += STEP) {
+		for (apr_time_t t = 0; t < span; t += TIME_STEP) {
 			unsigned before = cell.out_anywhere();
 			unsigned after;
 
-			for (apr_time_t u = 0; u < STEP; u += TICK) {
+			for (apr_time_t u = 0; u < TIME_STEP; u += TICK) {
 				cell.clock.now += TICK;
 				tick();
 			}
-			cell.clock.now -= STEP;
+			cell.clock.now -= TIME_STEP;
 			cell.step();
 			after = cell.out_anywhere();
 			ejected += after > before ? after - before : 0;
@@ -98,9 +98,9 @@
 
 		for (unsigned i = 0; i < TARGETS; i++)
 			if (now >= stalls_at[i]) {
-				stalled_until[i] = now + STALL;
-				stalls_at[i] =
-					now + STALL + gap(noise.stall_gap_s);
+				stalled_until[i] = now + STALL_TIME;
+				stalls_at[i] = now + STALL_TIME +
+					       gap(noise.stall_gap_s);
 			}
 		for (unsigned v = 0; v < cell.vms.size(); v++)
 			tick_vm(v, now);
--- a/tests/notice_path_test.cc
+++ b/tests/notice_path_test.cc
@@ -22,7 +22,7 @@
 constexpr auto STABLE = std::chrono::seconds(3);
 constexpr auto WINDOW = std::chrono::seconds(4);
 /* How long a leaving target goes on serving. */
-constexpr auto DRAIN = std::chrono::seconds(2);
+constexpr auto DRAIN_TIME = std::chrono::seconds(2);
 /* Back-off time that a target asks a VM for, and the time after which requests
  * in it are counted as violations. */
 constexpr auto BACK_OFF = std::chrono::seconds(3);
@@ -349,9 +349,9 @@
 	ASSERT_TRUE(
 		wait_until([&] { return targets[0]->arrivals().size() > 99; }));
 	targets[0]->set_answers("Server-Leaving: 1\r\n");
-	std::this_thread::sleep_for(DRAIN);
+	std::this_thread::sleep_for(DRAIN_TIME);
 	targets[0]->clear_arrivals();
-	std::this_thread::sleep_for(DRAIN);
+	std::this_thread::sleep_for(DRAIN_TIME);
 	EXPECT_EQ(targets[0]->arrivals().size(), 0u);
 	EXPECT_EQ(not_served, 0u);
 }
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -449,7 +449,8 @@
  */
 struct LoadSimulation {
 	static constexpr int VMS = 8, TARGETS = 10, SLOTS = 3;
-	static constexpr apr_time_t STEP = TR_MSEC(10), WORK = TR_MSEC(250);
+	static constexpr apr_time_t TIME_STEP = TR_MSEC(10),
+				    WORK = TR_MSEC(250);
 	static constexpr apr_time_t AIM = TR_SEC(1), LIMIT = TR_SEC(2);
 
 	struct Running {
@@ -578,11 +579,12 @@
 
 	void run(double a_second, apr_time_t from, apr_time_t to)
 	{
-		for (apr_time_t now = from; now < to; now += STEP) {
+		for (apr_time_t now = from; now < to; now += TIME_STEP) {
 			end_work(now);
 			if (now % TR_MSEC(50) == 0)
 				exchange_reports(now);
-			for (due += a_second * STEP / 1e6; due >= 1; due -= 1)
+			for (due += a_second * TIME_STEP / 1e6; due >= 1;
+			     due -= 1)
 				route_request(now);
 		}
 	}
--- a/tests/send_limit_load_test.cc
+++ b/tests/send_limit_load_test.cc
@@ -18,9 +18,9 @@
 namespace
 {
 
-constexpr apr_time_t STEP = TR_MSEC(5);
+constexpr apr_time_t TIME_STEP = TR_MSEC(5);
 /* How the daemon paces its reports, and the delivery time of a message. */
-constexpr apr_time_t GAP_MIN = TR_MSEC(40), GAP_PER_VM = TR_MSEC(1),
+constexpr apr_time_t MIN_INTERVAL = TR_MSEC(40), GAP_PER_VM = TR_MSEC(1),
 		     PERIOD = TR_MSEC(650), DELIVERY_TIME = TR_MSEC(5);
 /*
  * The operators' window, the start of their measurement, and what they allow.
@@ -75,7 +75,7 @@
 
 	void play(apr_time_t span)
 	{
-		for (apr_time_t end = now + span; now < end; now += STEP) {
+		for (apr_time_t end = now + span; now < end; now += TIME_STEP) {
 			apr_time_t t = now - start;
 			bool burst =
 				load.burst && t > TR_SEC(8) && t < TR_SEC(12);
@@ -86,7 +86,8 @@
 				begin((unsigned)(t / TR_SEC(1)) %
 				      (unsigned)vms.size());
 			deliver();
-			for (int n = poisson(rate * (double)STEP / 1e6); n; n--)
+			for (int n = poisson(rate * (double)TIME_STEP / 1e6); n;
+			     n--)
 				send_request(below((unsigned)vms.size()), rate);
 			send_due_reports();
 		}
@@ -183,7 +184,7 @@
 	void send_due_reports()
 	{
 		apr_time_t gap = std::max<apr_time_t>(
-			GAP_MIN, GAP_PER_VM * (apr_time_t)vms.size());
+			MIN_INTERVAL, GAP_PER_VM * (apr_time_t)vms.size());
 
 		for (unsigned i = 0; i < vms.size(); i++) {
 			Vm &vm = vms[i];
--- a/tests/spread_test.cc
+++ b/tests/spread_test.cc
@@ -13,7 +13,7 @@
 namespace
 {
 
-const unsigned CENTRES = 4;
+const unsigned CENTRE_COUNT = 4;
 /* Link speeds in a large fleet, in bits a second: most are slow. */
 const double LINKS[] = { 10e6, 10e6, 50e6, 200e6 };
 
@@ -65,7 +65,7 @@
 
 	static std::string centre(unsigned i)
 	{
-		return "dc-" + std::to_string(i % CENTRES);
+		return "dc-" + std::to_string(i % CENTRE_COUNT);
 	}
 
 	/* Each VM learns the others' revisions after 75 ms. */
