--- a/src/config_read.c
+++ b/src/config_read.c
@@ -14,18 +14,18 @@
 #define LOG_MODULE "config"
 #include "log.h"
 
-#define KEY_PREFIX	    "toucanreel/"
-#define WATCH_WAIT_S	    20
-#define READ_TIMEOUT	    TR_SEC(2)
-#define PULL_TIMEOUT	    TR_SEC(1)
-#define RETRY_DELAY	    TR_MSEC(500)
-#define MAX_DOUBLINGS	    4
-#define MIN_POLL_PERIOD	    TR_SEC(2)
-#define POLL_CALLS_PER_S    1000.0
-#define SERVICE_WATCHERS    2
-#define VM_LIST_WATCHERS    3
-#define MISSING_SERVICE_TTL TR_SEC(2)
-#define URL_MAX		    320
+#define KEY_PREFIX		"toucanreel/"
+#define WATCH_PERIOD_S		20
+#define READ_TIMEOUT		TR_SEC(2)
+#define PULL_TIMEOUT		TR_SEC(1)
+#define RETRY_DELAY		TR_MSEC(500)
+#define MAX_DOUBLINGS		4
+#define MIN_POLL_PERIOD		TR_SEC(2)
+#define POLL_CALLS_PER_S	1000.0
+#define SERVICE_WATCHERS	2
+#define LIST_READERS_PER_CENTRE 3
+#define MISSING_SERVICE_TTL	TR_SEC(2)
+#define URL_MAX			320
 
 static void set_platform_up(struct config *config, bool up)
 {
@@ -157,11 +157,11 @@
 	if (fetcher->watching)
 		snprintf(url + n, sizeof(url) - (size_t)n,
 			 "&index=%lu&wait=%ds", (unsigned long)fetcher->index,
-			 WATCH_WAIT_S);
+			 WATCH_PERIOD_S);
 	config->counts.platform_calls++;
 	fetcher->fetch = client_fetch(
 		config->client, url, NULL,
-		fetcher->watching ? TR_SEC(WATCH_WAIT_S + 5) : READ_TIMEOUT,
+		fetcher->watching ? TR_SEC(WATCH_PERIOD_S + 5) : READ_TIMEOUT,
 		on_platform_response, fetcher);
 }
 
@@ -287,7 +287,8 @@
 	       count_higher_ranked(config, svc) < SERVICE_WATCHERS;
 }
 
-/* The first VM_LIST_WATCHERS VMs of a data centre watch the list of VMs. */
+/* The first LIST_READERS_PER_CENTRE VMs of a data centre watch the list of VMs.
+ */
 static bool watches_vm_list(const struct config *config)
 {
 	const struct tr_board *board = config->board;
@@ -302,7 +303,7 @@
 		     !strcmp(vm->data_centre, board->data_centre) &&
 		     tr_hash_pair(salt, vm->id) > own_weight;
 	}
-	return n < VM_LIST_WATCHERS;
+	return n < LIST_READERS_PER_CENTRE;
 }
 
 /*
