--- a/entry/mesh_internal.h
+++ b/entry/mesh_internal.h
@@ -131,7 +131,7 @@
 void mesh_forget_reports(struct mesh *mesh, struct tr_node *node);
 void mesh_forget_node(struct mesh *mesh, struct tr_node *node, apr_time_t now);
 
-/* Handles one part of a message; see mesh_take.c. */
+/* Handles one part of a message; see mesh_receive.c. */
 typedef void mesh_handler_fn(struct mesh *mesh, struct tr_node *node,
 			     const struct mesh_message *msg, apr_time_t now);
 
