--- a/entry/idle.c
+++ b/entry/idle.c
@@ -172,7 +172,7 @@
 	for (uint32_t i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
 
-		if (!tr_instance_usable(row, now) || row->away ||
+		if (!tr_instance_usable(row, now) || row->remote ||
 		    tr_roster_limit(roster, row))
 			continue;
 		tr_floor_check_add(&checks[row->service], row, i,
@@ -202,7 +202,8 @@
 	for (unsigned i = 0; i < e->roster.count; i++) {
 		struct tr_instance *row = &e->roster.rows[i];
 		bool is_idle = row->used && !row->gone && !row->leaving &&
-			       !row->away && now - row->used_at >= IDLE_TIME &&
+			       !row->remote &&
+			       now - row->used_at >= IDLE_TIME &&
 			       now - row->known_since >= IDLE_TIME;
 
 		if (is_idle && !row->idle_logged &&
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -183,7 +183,7 @@
 		if (!row->used || row->home_generation == m->generation)
 			continue;
 		row->home = tr_groups_home(m, row->data_centre, row->hash);
-		row->away = row->home != m->nodes[0].group;
+		row->remote = row->home != m->nodes[0].group;
 		row->home_generation = m->generation;
 	}
 }
--- a/entry/mesh_groups.c
+++ b/entry/mesh_groups.c
@@ -72,7 +72,7 @@
 			&roster->rows[mesh->next_state++ % roster->count];
 		double risk = tr_gray_probability(&row->gray, now);
 
-		if (row->away || !tr_instance_serves(row, now))
+		if (row->remote || !tr_instance_serves(row, now))
 			continue;
 		states[msg->states.states_len++] = (struct mesh_state){
 			.target = row->hash,
@@ -167,9 +167,9 @@
 	     i < roster->count && msg.rows.rows_len < MESH_MAX_ROWS; i++) {
 		struct tr_instance *row = &roster->rows[i];
 
-		if (!row->used || !row->dirty_away || row->home != group)
+		if (!row->used || !row->dirty_remote || row->home != group)
 			continue;
-		row->dirty_away = false;
+		row->dirty_remote = false;
 		mesh_fill_row(&rows[msg.rows.rows_len++], row);
 	}
 	if (to && msg.rows.rows_len)
@@ -181,14 +181,14 @@
 {
 	struct tr_roster *roster = &mesh->e->roster;
 
-	if (!roster->away_changed)
+	if (!roster->remote_changed)
 		return;
-	roster->away_changed = false;
+	roster->remote_changed = false;
 	mesh->groups_reported_at = now;
 	for (unsigned i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
 
-		if (row->used && row->away && row->dirty_away)
+		if (row->used && row->remote && row->dirty_remote)
 			report_to_group(mesh, row->home, now);
 	}
 }
@@ -250,7 +250,7 @@
 		struct tr_instance *row =
 			tr_roster_by_hash(&mesh->e->roster, s->target);
 
-		if (row && row->away)
+		if (row && row->remote)
 			tr_roster_apply_report(
 				row, (s->risk_and_in_flight >> 16) / 1000.0,
 				s->risk_and_in_flight & UINT16_MAX, now);
--- a/lib/place.c
+++ b/lib/place.c
@@ -74,7 +74,7 @@
 #define MIN_WORK 1.0
 /*
  * Retry-After in us when no target is known, and its maximum when targets have
- * set rate limits so low that the next request may be far away.
+ * set rate limits so low that the next request may be far remote.
  */
 #define RETRY_AFTER_DEFAULT_US 300e3
 #define RETRY_AFTER_MAX_US     3e6
@@ -229,7 +229,7 @@
 		const struct tr_send_limit *l = tr_roster_limit(roster, row);
 		double tokens;
 
-		if (!l || row->away || !is_candidate(row, i, req, now))
+		if (!l || row->remote || !is_candidate(row, i, req, now))
 			continue;
 		tokens = tr_send_limit_tokens(l, req->heard, now);
 		if (tokens < 1)
@@ -327,7 +327,7 @@
 		if (tr_roster_limit(roster, row)) {
 			limited += fits && i != limited_choice;
 			fits &= i == limited_choice;
-		} else if (!row->away) {
+		} else if (!row->remote) {
 			/*
 			 * Other groups keep their own targets in use and report
 			 * it too late for the floor.
--- a/lib/roster.c
+++ b/lib/roster.c
@@ -377,7 +377,7 @@
 	for (unsigned i = 0; i < roster->count; i++) {
 		const struct tr_instance *row = &roster->rows[i];
 
-		if (row->service != service || row->away ||
+		if (row->service != service || row->remote ||
 		    !tr_instance_usable(row, now))
 			continue;
 		sum += tr_gray_probability(&row->gray, now);
@@ -438,7 +438,7 @@
 {
 	const struct tr_send_limit *l = tr_roster_limit(roster, row);
 
-	if (row->away && l && tr_send_limit_is_stale(l, now))
+	if (row->remote && l && tr_send_limit_is_stale(l, now))
 		tr_send_limits_deactivate(&roster->limits, row->limit);
 }
 
@@ -585,7 +585,7 @@
 {
 	uint32_t in_flight = row->in_flight + row->others_in_flight;
 
-	if (row->away && row->reported_in_flight > in_flight &&
+	if (row->remote && row->reported_in_flight > in_flight &&
 	    now - row->reported_at < REPORT_TTL)
 		return row->reported_in_flight;
 	return in_flight;
@@ -595,8 +595,8 @@
 void tr_roster_mark_dirty(struct tr_roster *roster, struct tr_instance *row)
 {
 	row->dirty = true;
-	row->dirty_away = row->away;
-	roster->away_changed |= row->away;
+	row->dirty_remote = row->remote;
+	roster->remote_changed |= row->remote;
 }
 
 /* Applies a report of the target's home group. */
--- a/lib/roster.h
+++ b/lib/roster.h
@@ -37,7 +37,7 @@
 	bool used;
 	/* Its home is another group of VMs. What this VM knows of it is that
 	 * group's last report and its own group's requests there. */
-	bool away;
+	bool remote;
 	/* Its home group, and the generation of groups it was found in. */
 	uint16_t home;
 	uint32_t home_generation;
@@ -93,7 +93,7 @@
 	struct tr_symptom_totals own;
 	/* There is news of it to send to this group, and to its home group. */
 	bool dirty;
-	bool dirty_away;
+	bool dirty_remote;
 	/* The end of this VM's last request there was sent once; it is sent
 	 * again in case that message was lost. */
 	bool report_again;
@@ -113,7 +113,7 @@
 	/* There are targets whose home group is not known. */
 	bool homes_stale;
 	/* There is news to send of another group's targets. */
-	bool away_changed;
+	bool remote_changed;
 	apr_time_t stepped_at;
 	struct tr_service_stats *services;
 	unsigned services_count;
--- a/tests/floor_load_test.cc
+++ b/tests/floor_load_test.cc
@@ -63,17 +63,17 @@
 	unsigned failing_windows = 0;
 	unsigned short_failing_windows = 0;
 
-	explicit Service(unsigned n, unsigned away = 0, uint64_t seed = 5)
+	explicit Service(unsigned n, unsigned remote = 0, uint64_t seed = 5)
 	{
 		random.state = seed;
 		tr_roster_service(&roster, "svc");
-		for (unsigned i = 0; i < n + away; i++) {
+		for (unsigned i = 0; i < n + remote; i++) {
 			add_target(i, now - TR_SEC(60));
 			roster.rows[i].used_at = now;
 			if (i < n)
 				continue;
 			/* A target of another group, which keeps it full. */
-			roster.rows[i].away = true;
+			roster.rows[i].remote = true;
 			roster.rows[i].full_until = APR_INT64_MAX;
 		}
 		targets.resize(n);
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -250,7 +250,7 @@
 {
 	add_many(20);
 	for (int i = 0; i < 10; i++) {
-		roster.rows[i].away = true;
+		roster.rows[i].remote = true;
 		roster.rows[i].used_at = now - TR_SEC(10);
 	}
 	for (int i = 16; i < 20; i++) {
@@ -276,7 +276,7 @@
 		tr_instance *row =
 			add(("far" + std::to_string(i)).c_str(), "dc-2");
 
-		row->away = true;
+		row->remote = true;
 		tr_roster_apply_report(row, 0.05, i < 2 ? 6 : 0, now);
 	}
 	for (const auto &[row, n] : draw(200))
@@ -411,7 +411,7 @@
 TEST_F(Place, AnotherGroupsTargetWithALimitIsLeftToThatGroup)
 {
 	add_many(2);
-	roster.rows[1].away = true;
+	roster.rows[1].remote = true;
 	set_limit(&roster, 1, 5, now);
 	now += TR_SEC(2);
 	req.heard = 1;
