--- a/lib/allowance.h
+++ b/lib/allowance.h
@@ -1,3 +1,7 @@
+/*
+ * Bounds the repeats of requests, over the whole fleet and in every window, so
+ * that repeats cannot multiply the load of a failing service.
+ */
 #ifndef TR_ALLOWANCE_H
 #define TR_ALLOWANCE_H
 
--- a/lib/fatal.h
+++ b/lib/fatal.h
@@ -1,3 +1,8 @@
+/*
+ * Requests that make targets end, such as by a crash. The fleet counts the
+ * targets that ended under a request and refuses it from then on, except for
+ * rare trials.
+ */
 #ifndef TR_FATAL_H
 #define TR_FATAL_H
 
@@ -10,7 +15,7 @@
 #define TR_FATAL_ROWS_MAX 256
 #define TR_FATAL_ENDS_MAX 6
 
-/* A target that ended while it ran the request. */
+/* A target that ended, for example crashed, while it ran the request. */
 struct tr_fatal_end {
 	uint32_t target;
 	/* Ends that the sending VM knew of when it sent the request. */
--- a/lib/identity.h
+++ b/lib/identity.h
@@ -1,3 +1,4 @@
+/* Recognises a request that is sent again, by a hash of its parts. */
 #ifndef TR_IDENTITY_H
 #define TR_IDENTITY_H
 
--- a/lib/limit.h
+++ b/lib/limit.h
@@ -1,3 +1,7 @@
+/*
+ * Rate limits of organisations. The VMs of a group report what they admitted to
+ * each other, and the groups divide a limit by the demand that they report.
+ */
 #ifndef TR_LIMIT_H
 #define TR_LIMIT_H
 
--- a/lib/list_check.h
+++ b/lib/list_check.h
@@ -1,3 +1,4 @@
+/* Compares this VM's list of targets with the lists that other VMs report. */
 #ifndef TR_LIST_CHECK_H
 #define TR_LIST_CHECK_H
 
--- a/lib/notice.h
+++ b/lib/notice.h
@@ -1,3 +1,4 @@
+/* What a target announces about itself in the headers of a response. */
 #ifndef TR_NOTICE_H
 #define TR_NOTICE_H
 
--- a/lib/organisation.h
+++ b/lib/organisation.h
@@ -1,3 +1,4 @@
+/* Organisations, the senders of requests, and the API keys that name them. */
 #ifndef TR_ORGANISATION_H
 #define TR_ORGANISATION_H
 
--- a/lib/place.c
+++ b/lib/place.c
@@ -74,7 +74,7 @@
 #define MIN_WORK 1.0
 /*
  * Retry-After in us when no target is known, and its maximum when targets have
- * set rate limits so low that the next request may be far remote.
+ * set rate limits so low that the next request may be far off.
  */
 #define RETRY_AFTER_DEFAULT_US 300e3
 #define RETRY_AFTER_MAX_US     3e6
--- a/lib/place.h
+++ b/lib/place.h
@@ -1,3 +1,4 @@
+/* Chooses the target that a request is sent to. */
 #ifndef TR_PLACE_H
 #define TR_PLACE_H
 
--- a/lib/proof.h
+++ b/lib/proof.h
@@ -9,8 +9,8 @@
 #include "membership.h"
 
 /*
- * Proof of how recent the configuration in force is. Every configuration that
- * was accepted before at is in force here, or older than the one that is.
+ * Proof of how recent the configuration in force is: no configuration that the
+ * platform accepted before the time at is newer.
  */
 struct tr_proof {
 	/* 0 if there is no proof. */
--- a/lib/roster.h
+++ b/lib/roster.h
@@ -84,14 +84,14 @@
 	/* When a request last turned out to have failed or, if it was overdue,
 	 * ended. */
 	apr_time_t failed_at;
-	/* When an answer last came, and when about its request was sent. */
+	/* When an answer last came, and about when its request was sent. */
 	apr_time_t answered_at;
 	apr_time_t answered_sent_at;
 	/* The latest time at which the newest overdue or failed request may
 	 * have been sent. */
 	apr_time_t hung_at;
 	struct tr_symptom_totals own;
-	/* There is news of it to send to this group, and to its home group. */
+	/* Changes are to be reported to this group, and to its home group. */
 	bool dirty;
 	bool dirty_remote;
 	/* The end of this VM's last request there was sent once; it is sent
@@ -112,7 +112,7 @@
 	uint32_t list_mark;
 	/* There are targets whose home group is not known. */
 	bool homes_stale;
-	/* There is news to send of another group's targets. */
+	/* Changes of targets of other groups are to be reported. */
 	bool remote_changed;
 	apr_time_t stepped_at;
 	struct tr_service_stats *services;
--- a/lib/route.h
+++ b/lib/route.h
@@ -1,3 +1,4 @@
+/* The routes of a fleet: which service gets a request, and how it is sent. */
 #ifndef TR_ROUTE_H
 #define TR_ROUTE_H
 
--- a/lib/send_limit.h
+++ b/lib/send_limit.h
@@ -1,3 +1,4 @@
+/* Rate limits that targets set, shared by all VMs that send to them. */
 #ifndef TR_SEND_LIMIT_H
 #define TR_SEND_LIMIT_H
 
--- a/lib/spread.h
+++ b/lib/spread.h
@@ -1,3 +1,7 @@
+/*
+ * Spreads the routes and the list of targets between VMs, so that few VMs read
+ * them from the platform.
+ */
 #ifndef TR_SPREAD_H
 #define TR_SPREAD_H
 
