--- a/entry/notices.c
+++ b/entry/notices.c
@@ -90,15 +90,16 @@
  * the other VMs continue. Logged when a back-off begins, not when it is
  * extended.
  */
-static void apply_rest(struct tr_instance *row, apr_time_t rest, apr_time_t now)
+static void apply_rest(struct tr_instance *row, apr_time_t backoff,
+		       apr_time_t now)
 {
-	if (rest > REST_MAX)
-		rest = REST_MAX;
+	if (backoff > REST_MAX)
+		backoff = REST_MAX;
 	if (row->backoff_until <= now)
 		eventlog(EVENT_BELIEF, "target-rests", "id=%s rest_ms=%ld",
-			 row->id, (long)(rest / 1000));
-	if (row->backoff_until < now + rest)
-		row->backoff_until = now + rest;
+			 row->id, (long)(backoff / 1000));
+	if (row->backoff_until < now + backoff)
+		row->backoff_until = now + backoff;
 }
 
 /*
@@ -121,8 +122,8 @@
 		apply_limit(e, row, &notice, answer->parser.status_code);
 	if (notice.leaving && notices_mark_leaving(e, row, "answer"))
 		mesh_broadcast_leaving(e->mesh, row->hash);
-	if (notice.rest_state == TR_NOTICE_INVALID)
+	if (notice.backoff_state == TR_NOTICE_INVALID)
 		log_refused_notice(e, row, "rest", "seconds");
-	else if (notice.rest_state == TR_NOTICE_GIVEN)
-		apply_rest(row, notice.rest, entry_now(e));
+	else if (notice.backoff_state == TR_NOTICE_GIVEN)
+		apply_rest(row, notice.backoff, entry_now(e));
 }
--- a/fuzz/fuzz_store.c
+++ b/fuzz/fuzz_store.c
@@ -37,7 +37,7 @@
 	struct tr_notice notice;
 
 	platform_dialect.parse_notice(msg, &notice);
-	if (!(notice.limit >= 0 && notice.limit < 1e33) || notice.rest < 0)
+	if (!(notice.limit >= 0 && notice.limit < 1e33) || notice.backoff < 0)
 		abort();
 }
 
--- a/lib/notice.h
+++ b/lib/notice.h
@@ -19,9 +19,9 @@
 	enum tr_notice_value limit_state;
 	/* Requests a second that it accepts from all VMs together. */
 	double limit;
-	enum tr_notice_value rest_state;
+	enum tr_notice_value backoff_state;
 	/* How long this VM should send it no requests. */
-	apr_time_t rest;
+	apr_time_t backoff;
 };
 
 enum tr_notice_value tr_notice_parse_decimal(const char *text, double *value);
--- a/tests/platform_test.cc
+++ b/tests/platform_test.cc
@@ -492,20 +492,20 @@
 	EXPECT_TRUE(n.leaving);
 	EXPECT_EQ(n.limit_state, TR_NOTICE_GIVEN);
 	EXPECT_EQ(n.limit, 1.5);
-	EXPECT_EQ(n.rest_state, TR_NOTICE_ABSENT);
+	EXPECT_EQ(n.backoff_state, TR_NOTICE_ABSENT);
 	n = notice_of(503, "Retry-After: 3\r\nX-Not-Executed: 1\r\n");
 	EXPECT_FALSE(n.leaving);
 	EXPECT_EQ(n.limit_state, TR_NOTICE_ABSENT);
-	EXPECT_EQ(n.rest_state, TR_NOTICE_GIVEN);
-	EXPECT_EQ(n.rest, apr_time_from_sec(3));
-	EXPECT_EQ(notice_of(503, "Retry-After: 0.25\r\n").rest, 250000);
+	EXPECT_EQ(n.backoff_state, TR_NOTICE_GIVEN);
+	EXPECT_EQ(n.backoff, apr_time_from_sec(3));
+	EXPECT_EQ(notice_of(503, "Retry-After: 0.25\r\n").backoff, 250000);
 	EXPECT_EQ(notice_of(200, "").limit_state, TR_NOTICE_ABSENT);
 }
 
 TEST(Platform, RetryAfterCountsOnlyWithStatus503)
 {
 	for (int status : { 200, 429, 500, 504 })
-		EXPECT_EQ(notice_of(status, "Retry-After: 3\r\n").rest_state,
+		EXPECT_EQ(notice_of(status, "Retry-After: 3\r\n").backoff_state,
 			  TR_NOTICE_ABSENT)
 			<< status;
 }
@@ -528,8 +528,8 @@
 				     "\r\nRetry-After: " + value + "\r\n");
 
 		EXPECT_EQ(n.limit_state, TR_NOTICE_INVALID) << value;
-		EXPECT_EQ(n.rest_state, TR_NOTICE_INVALID) << value;
-		EXPECT_EQ(n.rest, 0) << value;
+		EXPECT_EQ(n.backoff_state, TR_NOTICE_INVALID) << value;
+		EXPECT_EQ(n.backoff, 0) << value;
 	}
 	EXPECT_EQ(notice_of(200, "Server-Limit: 1\r\nServer-Limit: 9\r\n")
 			  .limit_state,
@@ -547,8 +547,8 @@
 					     std::string(32, '9') + "\r\n");
 
 	EXPECT_EQ(n.limit_state, TR_NOTICE_GIVEN);
-	EXPECT_GT(n.rest, 0);
-	EXPECT_EQ(notice_of(503, "Retry-After: 0\r\n").rest, 0);
+	EXPECT_GT(n.backoff, 0);
+	EXPECT_EQ(notice_of(503, "Retry-After: 0\r\n").backoff, 0);
 }
 
 } // namespace
