--- a/entry/entry.c
+++ b/entry/entry.c
@@ -96,7 +96,7 @@
 	for (unsigned i = 0; i < routes->services_count; i++)
 		routes->services[i].row_index =
 			tr_roster_service(&e->roster, routes->services[i].name);
-	eventlog(EVENT_BELIEF, "routes",
+	eventlog(EVENT_STATE, "routes",
 		 "version=%" G_GUINT64_FORMAT " revision=%" G_GUINT64_FORMAT
 		 " routes=%u from=%s",
 		 (guint64)routes->version, (guint64)routes->revision,
@@ -175,7 +175,7 @@
 {
 	if (!tr_roster_apply(&e->roster, record, entry_now(e)))
 		return;
-	eventlog(EVENT_BELIEF, "target",
+	eventlog(EVENT_STATE, "target",
 		 "id=%s born=%" G_GUINT64_FORMAT " service=%s address=%s "
 		 "state=%s revision=%" G_GUINT64_FORMAT " from=%s",
 		 record->id, (guint64)record->born, record->service,
--- a/entry/eventlog.h
+++ b/entry/eventlog.h
@@ -5,9 +5,9 @@
 
 /* Class of a line. Under load, the later classes are dropped first. */
 enum event_class {
-	EVENT_LIFE, /* start, stop and reload of this process */
+	EVENT_LIFECYCLE, /* start, stop and reload of this process */
 	EVENT_FAILURE,
-	EVENT_BELIEF, /* a change in what this VM assumes of the fleet */
+	EVENT_STATE, /* a change in what this VM assumes of the fleet */
 	EVENT_REQUEST,
 	EVENT_CLASSES,
 };
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -215,7 +215,7 @@
 					  entry_now(x->e));
 	struct tr_placement p;
 
-	if (!tr_mechanism_enabled(TR_MECH_SECONDING))
+	if (!tr_mechanism_enabled(TR_MECH_HEDGING))
 		return;
 	if (x->route->kind != TR_KIND_SAFE || x->runs >= x->route->attempts ||
 	    !free_upstream(x) || risk < HEDGE_RISK)
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -169,7 +169,7 @@
 	x->route = route;
 	x->organisation = organisation;
 	x->keeps = route->kind == TR_KIND_SAFE &&
-		   tr_mechanism_enabled(TR_MECH_KEPT_CONNECTIONS);
+		   tr_mechanism_enabled(TR_MECH_CONNECTION_POOL);
 	x->needs_key = x->routes->organisations && !route->is_public;
 	x->next = e->exchanges;
 	if (x->next)
--- a/entry/exchange_fatal.c
+++ b/entry/exchange_fatal.c
@@ -43,7 +43,7 @@
 
 	if (change == TR_FATAL_SAME || !row)
 		return;
-	eventlog(EVENT_BELIEF, "fatal-request",
+	eventlog(EVENT_STATE, "fatal-request",
 		 "identity=%016" PRIx64 " state=%s ends=%u tries=%u targets=%s "
 		 "again_in_ms=%ld",
 		 identity, change_names[change], row->ends_count, row->tries,
@@ -67,7 +67,7 @@
 					 entry_now(e));
 	if (verdict == TR_FATAL_TRY) {
 		x->is_trial = true;
-		eventlog(EVENT_BELIEF, "fatal-request",
+		eventlog(EVENT_STATE, "fatal-request",
 			 "identity=%016" PRIx64 " state=tried id=%s",
 			 x->identity, x->id);
 		mesh_broadcast_now(e->mesh);
--- a/entry/idle.c
+++ b/entry/idle.c
@@ -97,7 +97,7 @@
 	struct tr_floor_check check;
 
 	init_check(&check, e, row->service, now);
-	eventlog(EVENT_BELIEF, "target-idle",
+	eventlog(EVENT_STATE, "target-idle",
 		 "id=%s service=%s risk=%.2f used_ms=%ld failed_ms=%ld "
 		 "known_ms=%ld in_flight=%u others_in_flight=%u full=%d "
 		 "unreachable=%d rests=%d limited=%d floor=%s",
@@ -142,7 +142,7 @@
 	if ((verdict == TR_FLOOR_ENOUGH && !any_idle(idle_targets)) ||
 	    !is_logging_vm(&e->members, tr_hash_string(svc->name), now))
 		return;
-	eventlog(EVENT_BELIEF,
+	eventlog(EVENT_STATE,
 		 verdict == TR_FLOOR_ENOUGH ? "floor-enough" : "floor-short",
 		 "service=%s verdict=%s missing=%.1f at_work=%.1f at_rest=%.1f "
 		 "idle=%.1f idle_fitting=%u ended=%.1f failing=%.3f rate=%.1f "
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -196,7 +196,7 @@
 
 	for (unsigned g = 0; g < m->groups_count; g++)
 		alive += m->groups[g].alive > 0;
-	eventlog(EVENT_BELIEF, "groups",
+	eventlog(EVENT_STATE, "groups",
 		 "groups=%u alive=%u near=%u near_alive=%u fleet=%u",
 		 m->groups_count, alive, m->near_count,
 		 m->groups[m->nodes[0].group].alive, tr_membership_size(m));
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -37,7 +37,7 @@
 	};
 
 	if (change != TR_SEND_LIMIT_SAME)
-		eventlog(EVENT_BELIEF, "target-limit",
+		eventlog(EVENT_STATE, "target-limit",
 			 "id=%s state=%s limit=%g from=%s", row->id,
 			 words[change], limit->rate, from);
 }
@@ -80,8 +80,7 @@
 {
 	if (!tr_roster_mark_leaving(&e->roster, row))
 		return false;
-	eventlog(EVENT_BELIEF, "target-leaving", "id=%s from=%s", row->id,
-		 from);
+	eventlog(EVENT_STATE, "target-leaving", "id=%s from=%s", row->id, from);
 	return true;
 }
 
@@ -96,7 +95,7 @@
 	if (backoff > REST_MAX)
 		backoff = REST_MAX;
 	if (row->backoff_until <= now)
-		eventlog(EVENT_BELIEF, "target-rests", "id=%s rest_ms=%ld",
+		eventlog(EVENT_STATE, "target-rests", "id=%s rest_ms=%ld",
 			 row->id, (long)(backoff / 1000));
 	if (row->backoff_until < now + backoff)
 		row->backoff_until = now + backoff;
--- a/entry/pull.c
+++ b/entry/pull.c
@@ -139,7 +139,7 @@
 	}
 	tr_roster_drop_unlisted(&e->roster, records, (unsigned)n, as_of, now);
 	tr_roster_confirm_from_peer(&e->roster, as_of, age, now);
-	eventlog(EVENT_BELIEF, "list",
+	eventlog(EVENT_STATE, "list",
 		 "targets=%zu as_of=%" PRIu64 " age_ms=%ld from=peer", n, as_of,
 		 (long)(age / 1000));
 }
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -84,7 +84,7 @@
 		     tr_random_below(&r->e->random, (uint32_t)r->retry);
 	if (++r->failures == FAILURES_REPORTED) {
 		self(r)->cannot_read = true;
-		eventlog(EVENT_BELIEF, "store-lost", "why=%s status=%d", why,
+		eventlog(EVENT_STATE, "store-lost", "why=%s status=%d", why,
 			 status);
 	}
 }
@@ -109,7 +109,7 @@
 	apr_time_t now = entry_now(e);
 
 	if (self(r)->cannot_read)
-		eventlog(EVENT_BELIEF, "store-regained",
+		eventlog(EVENT_STATE, "store-regained",
 			 "as_of=%" PRIu64 " failures=%u", as_of, r->failures);
 	self(r)->cannot_read = false;
 	r->failures = 0;
@@ -159,9 +159,8 @@
 	r->listing = false;
 	r->needs_listing = false;
 	renew_proof(r, r->listing_started_at, true);
-	eventlog(EVENT_BELIEF, "list",
-		 "targets=%u as_of=%" PRIu64 " from=store", r->records->len,
-		 r->list_as_of);
+	eventlog(EVENT_STATE, "list", "targets=%u as_of=%" PRIu64 " from=store",
+		 r->records->len, r->list_as_of);
 	handle_success(r, r->list_as_of);
 }
 
@@ -174,7 +173,7 @@
 	int status = answer ? answer->parser.status_code : 0;
 
 	if (answer && status == e->dialect->history_lost_status) {
-		eventlog(EVENT_BELIEF, "history-lost", "as_of=%" PRIu64,
+		eventlog(EVENT_STATE, "history-lost", "as_of=%" PRIu64,
 			 e->roster.as_of);
 		r->needs_listing = true;
 		r->next_at = entry_now(e);
--- a/entry/repeat.c
+++ b/entry/repeat.c
@@ -56,7 +56,7 @@
 	struct tr_allowance_sums sums;
 
 	tr_allowance_sum(a, &sums);
-	eventlog(EVENT_BELIEF, "repeats",
+	eventlog(EVENT_STATE, "repeats",
 		 "service=%s sent=%u denied=%u window_requests=%u "
 		 "window_repeats=%u own_requests=%u own_repeats=%u "
 		 "tokens=%.2f untold=%.2f vms=%u heard_lately=%.2f "
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -113,7 +113,7 @@
 	entry_apply_bounds(e);
 	reader_reload(e->reader);
 	mesh_add_seeds(e->mesh);
-	eventlog(EVENT_LIFE, "reload", "seeds=%u store=%s", s->seeds_count,
+	eventlog(EVENT_LIFECYCLE, "reload", "seeds=%u store=%s", s->seeds_count,
 		 s->store);
 }
 
@@ -167,7 +167,7 @@
 	if (takes == e->members.nodes[0].ready)
 		return;
 	e->members.nodes[0].ready = takes;
-	eventlog(EVENT_BELIEF, takes ? "takes-callers" : "turns-callers-away",
+	eventlog(EVENT_STATE, takes ? "takes-callers" : "turns-callers-away",
 		 "proof_age_ms=%ld", e->proof.at ? (long)(age / 1000) : -1L);
 	mesh_schedule_report(e->mesh);
 }
@@ -180,7 +180,7 @@
 	apr_time_t now = entry_now(e);
 
 	if (entry_check_pause(e, now)) {
-		eventlog(EVENT_LIFE, "paused", "for_ms=%ld",
+		eventlog(EVENT_LIFECYCLE, "paused", "for_ms=%ld",
 			 (long)((now - e->stepped_at) / 1000));
 		reader_reset(e->reader);
 		tr_limits_restart(&e->limits, now);
@@ -197,7 +197,7 @@
 	update_readiness(e);
 	if (!e->ready && e->routes && e->roster.confirmed_at) {
 		e->ready = true;
-		eventlog(EVENT_LIFE, "ready", "version=%" PRIu64,
+		eventlog(EVENT_LIFECYCLE, "ready", "version=%" PRIu64,
 			 e->routes->version);
 		mesh_schedule_report(e->mesh);
 	}
@@ -225,7 +225,7 @@
 	e->leaving = true;
 	e->members.nodes[0].leaving = true;
 	e->front.closing = true;
-	eventlog(EVENT_LIFE, "stop", "in_hand=%u", e->exchanges_count);
+	eventlog(EVENT_LIFECYCLE, "stop", "in_hand=%u", e->exchanges_count);
 	mesh_broadcast_now(e->mesh);
 }
 
@@ -351,7 +351,7 @@
 	if (open_services(&d, &err)) {
 		code = print_error(&err);
 	} else {
-		eventlog(EVENT_LIFE, "start",
+		eventlog(EVENT_LIFECYCLE, "start",
 			 "version=%s front=%s data_centre=%s seeds=%u first=%d",
 			 TOUCANREEL_VERSION, d.settings->front,
 			 d.settings->data_centre, d.settings->seeds_count,
@@ -359,7 +359,8 @@
 		loop_before_poll(d.e.loop, before_poll, &d);
 		step(&d);
 		loop_run(d.e.loop);
-		eventlog(EVENT_LIFE, "end", "in_hand=%u", d.e.exchanges_count);
+		eventlog(EVENT_LIFECYCLE, "end", "in_hand=%u",
+			 d.e.exchanges_count);
 		eventlog_flush();
 	}
 	close_all(&d);
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -67,7 +67,7 @@
 	apr_time_t now = entry_now(u->e);
 	bool is_first_failure =
 		symptom == TR_SYMPTOM_FAILED &&
-		tr_mechanism_enabled(TR_MECH_FIRST_FAILURE_NEWS) &&
+		tr_mechanism_enabled(TR_MECH_FIRST_FAILURE_REPORT) &&
 		tr_gray_probability(&row->gray, now) < GRAY_THRESHOLD;
 
 	row->own.count[symptom]++;
--- a/lib/mechanism.c
+++ b/lib/mechanism.c
@@ -10,18 +10,18 @@
 	[TR_MECH_RUNNING_AGE] = "running-age",
 	[TR_MECH_SERVICE_SPREAD] = "service-spread",
 	[TR_MECH_LEARNED_SHARE] = "learned-share",
-	[TR_MECH_BLUR] = "blur",
+	[TR_MECH_COST_NOISE] = "blur",
 	[TR_MECH_FLOOR] = "floor",
-	[TR_MECH_SCOUTS] = "scouts",
+	[TR_MECH_SUSPECT_PROBES] = "scouts",
 	[TR_MECH_CENTRE_PREFERENCE] = "centre-preference",
 	[TR_MECH_EARLY_REFUSAL] = "early-refusal",
-	[TR_MECH_SECONDING] = "seconding",
+	[TR_MECH_HEDGING] = "seconding",
 	[TR_MECH_REPEAT_REFUSED] = "repeat-refused",
-	[TR_MECH_FIRST_FAILURE_NEWS] = "first-failure-news",
+	[TR_MECH_FIRST_FAILURE_REPORT] = "first-failure-news",
 	[TR_MECH_CENTRE_RELAY] = "centre-relay",
 	[TR_MECH_TWO_READERS] = "two-readers",
 	[TR_MECH_GROUPS] = "groups",
-	[TR_MECH_KEPT_CONNECTIONS] = "kept-connections",
+	[TR_MECH_CONNECTION_POOL] = "kept-connections",
 };
 
 static bool disabled[TR_MECHANISMS];
--- a/lib/mechanism.h
+++ b/lib/mechanism.h
@@ -15,21 +15,21 @@
 	/* The share of gray targets is measured for each service. */
 	TR_MECH_LEARNED_SHARE,
 	/* Random noise is added to the costs of targets. */
-	TR_MECH_BLUR,
+	TR_MECH_COST_NOISE,
 	/* Idle targets get requests until enough targets are in use. */
 	TR_MECH_FLOOR,
 	/* Requests that may be retried probe suspects. */
-	TR_MECH_SCOUTS,
+	TR_MECH_SUSPECT_PROBES,
 	/* Targets in the own data centre are preferred. */
 	TR_MECH_CENTRE_PREFERENCE,
 	/* Requests that no target could answer in time are refused at once. */
 	TR_MECH_EARLY_REFUSAL,
 	/* A second attempt starts while the first runs at a suspect. */
-	TR_MECH_SECONDING,
+	TR_MECH_HEDGING,
 	/* Requests that a target refused are sent to another one. */
 	TR_MECH_REPEAT_REFUSED,
 	/* The first failure of a target is reported at once. */
-	TR_MECH_FIRST_FAILURE_NEWS,
+	TR_MECH_FIRST_FAILURE_REPORT,
 	/* One VM of each other data centre relays messages there. */
 	TR_MECH_CENTRE_RELAY,
 	/* Two VMs read the platform instead of one. */
@@ -37,7 +37,7 @@
 	/* VMs of a large fleet form groups. */
 	TR_MECH_GROUPS,
 	/* Safe requests reuse connections to targets. */
-	TR_MECH_KEPT_CONNECTIONS,
+	TR_MECH_CONNECTION_POOL,
 	TR_MECHANISMS,
 };
 
--- a/lib/place.c
+++ b/lib/place.c
@@ -134,7 +134,7 @@
 {
 	double retry_time = (double)(req->failure_age + req->expected_work);
 
-	if (!req->may_repeat || !tr_mechanism_enabled(TR_MECH_SCOUTS))
+	if (!req->may_repeat || !tr_mechanism_enabled(TR_MECH_SUSPECT_PROBES))
 		return FAILURE_COST;
 	return RETRY_COST + late_cost(req, retry_time) -
 	       late_cost(req, (double)req->expected_work);
@@ -276,7 +276,7 @@
 /*
  * Chooses a target for the request. TR_PLACE_TOO_LATE: there are targets, but
  * work sent now would end in time at none of them. TR_PLACE_LIMITED: it would,
- * but those targets have reached their rate limits. TR_PLACE_RESTING: all
+ * but those targets have reached their rate limits. TR_PLACE_BACKING_OFF: all
  * targets that serve have asked this VM to pause.
  */
 enum tr_place_result tr_place(const struct tr_roster *roster,
@@ -296,8 +296,9 @@
 	uint32_t limited_choice = draw_limited_target(roster, req, random, now);
 	uint32_t picked;
 
-	tr_floor_check_init(&check, req->may_repeat && tr_mechanism_enabled(
-							       TR_MECH_SCOUTS));
+	tr_floor_check_init(
+		&check, req->may_repeat &&
+				tr_mechanism_enabled(TR_MECH_SUSPECT_PROBES));
 	tr_floor_check_set_rotation(&check, &req->turns);
 	tr_floor_check_set_load(&check, &load);
 	placement->row = TR_NO_ROW;
@@ -337,7 +338,7 @@
 		if (!fits)
 			continue;
 		fitting++;
-		if (tr_mechanism_enabled(TR_MECH_BLUR))
+		if (tr_mechanism_enabled(TR_MECH_COST_NOISE))
 			p.cost -= COST_NOISE * gumbel(random);
 		if (p.cost < placement->cost)
 			*placement = p;
@@ -354,7 +355,7 @@
 	if (fitting)
 		return TR_PLACE_FOUND;
 	if (!known)
-		return resting ? TR_PLACE_RESTING : TR_PLACE_NONE_KNOWN;
+		return resting ? TR_PLACE_BACKING_OFF : TR_PLACE_NONE_KNOWN;
 	if (limited)
 		return TR_PLACE_LIMITED;
 	return untried ? TR_PLACE_TOO_LATE : TR_PLACE_ALL_TRIED;
--- a/lib/place.h
+++ b/lib/place.h
@@ -60,7 +60,7 @@
 	TR_PLACE_TOO_LATE,
 	TR_PLACE_LIMITED,
 	/* All targets that serve have asked this VM to pause. */
-	TR_PLACE_RESTING,
+	TR_PLACE_BACKING_OFF,
 };
 
 enum tr_place_result tr_place(const struct tr_roster *roster,
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -430,7 +430,8 @@
 	roster.rows[0].backoff_until = now + TR_SEC(2);
 	EXPECT_EQ(draw(200)[0], 0);
 	roster.rows[1].backoff_until = now + TR_SEC(3);
-	EXPECT_EQ(tr_place(&roster, &req, &random, now, &p), TR_PLACE_RESTING);
+	EXPECT_EQ(tr_place(&roster, &req, &random, now, &p),
+		  TR_PLACE_BACKING_OFF);
 	for (int i = 0; i < 20; i++) {
 		apr_time_t after =
 			tr_place_retry_after(&roster, &req, &random, now);
