--- a/entry/dialect.c
+++ b/entry/dialect.c
@@ -1,6 +1,4 @@
-/*
- * Pages of store items.
- */
+/* Pages of store items. */
 #include "dialect.h"
 
 static void clear_item(void *p)
--- a/entry/entry.h
+++ b/entry/entry.h
@@ -77,7 +77,7 @@
 	struct tr_limits limits;
 	struct tr_proof proof;
 	struct tr_fatals fatals;
-	struct kept kept;
+	struct idle_conns idle_conns;
 	uint64_t refused_revision; /* of the last invalid configuration */
 	double split_position;	   /* quasi-random draw of the traffic split */
 	bool leaving;		   /* since the stop signal */
--- a/entry/eventlog.h
+++ b/entry/eventlog.h
@@ -7,7 +7,7 @@
 enum event_class {
 	EVENT_LIFECYCLE, /* start, stop and reload of this process */
 	EVENT_FAILURE,
-	EVENT_STATE, /* a change in what this VM assumes of the fleet */
+	EVENT_STATE, /* a change in what this VM knows of the fleet */
 	EVENT_REQUEST,
 	EVENT_CLASSES,
 };
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -15,14 +15,15 @@
 
 /*
  * A running attempt is hedged by a second one when its target is gray with this
- * probability. From there on, waiting is worth less than a second target.
+ * probability. From there on a second attempt is expected to do better than
+ * waiting.
  */
 #define HEDGE_RISK 0.15
 
 /*
  * Standard deviation of the logarithm of the latency of queued work, near that
- * of an exponential tail. With the service's own spread, days of high load lost
- * up to 0.02 of their worth to targets that were suspected because of a queue.
+ * of an exponential tail. With the service's own spread, targets were suspected
+ * because of their queue, and up to 0.02 of the goodput was lost at high load.
  */
 #define QUEUED_SPREAD 0.75
 
@@ -82,7 +83,7 @@
 		.tried = x->tried,
 		.tried_count = x->tried_count,
 		.body_bytes = x->body->len,
-		.keeps = x->keeps,
+		.use_pool = x->use_pool,
 		.floor_share = e->settings->bounds.floor_share,
 		.request_rate =
 			tr_allowance_rate(entry_allowance(x->e, x->service),
@@ -90,7 +91,8 @@
 		.heard = exchange_heard_share(x),
 	};
 
-	req.turns.rank = tr_membership_rank(&e->members, now, &req.turns.vms);
+	req.rotation.rank =
+		tr_membership_rank(&e->members, now, &req.rotation.vms);
 	res = tr_place(&e->roster, &req, &x->e->random, now, p);
 	if (res != TR_PLACE_NONE_KNOWN)
 		tr_service_stats_track_queue(svc, p->shortest_time, aim, now);
@@ -124,7 +126,7 @@
 		.expected = exchange_typical_latency(x) + p->wait,
 		.spread = latency_spread(x, p),
 		.queued = p->wait > 0,
-		.keeps = x->keeps,
+		.use_pool = x->use_pool,
 		.known_exits = tr_fatal_count_ends(&e->fatals, x->identity),
 	};
 	int res;
--- a/entry/exchange_arrive.c
+++ b/entry/exchange_arrive.c
@@ -115,7 +115,7 @@
 	if (x->organisation)
 		g_string_append_printf(head, "%s: %s\r\n", d->organisation,
 				       x->organisation->name);
-	if (!x->keeps)
+	if (!x->use_pool)
 		g_string_append(head, "Connection: close\r\n");
 	return head;
 }
@@ -168,8 +168,8 @@
 	x->routes = tr_routes_ref(e->routes);
 	x->route = route;
 	x->organisation = organisation;
-	x->keeps = route->kind == TR_KIND_SAFE &&
-		   tr_mechanism_enabled(TR_MECH_CONNECTION_POOL);
+	x->use_pool = route->kind == TR_KIND_SAFE &&
+		      tr_mechanism_enabled(TR_MECH_CONNECTION_POOL);
 	x->needs_key = x->routes->organisations && !route->is_public;
 	x->next = e->exchanges;
 	if (x->next)
--- a/entry/exchange_internal.h
+++ b/entry/exchange_internal.h
@@ -46,7 +46,7 @@
 	bool is_trial;	      /* the fleet's trial of a refused request */
 	bool waiting;	      /* for the result of the same request elsewhere */
 	bool needs_key;	      /* the route takes only requests with a key */
-	bool keeps;	      /* may use and keep idle connections */
+	bool use_pool;	      /* may use and return pooled connections */
 	bool budget_exhausted;	/* the bound denied a repeat */
 	apr_time_t retry_after; /* the least to tell the caller */
 	bool maybe_ran;		/* an attempt that ended may have run */
--- a/entry/fetch.c
+++ b/entry/fetch.c
@@ -1,6 +1,4 @@
-/*
- * HTTP client for single GET requests on the event loop.
- */
+/* HTTP client for single GET requests on the event loop. */
 #include "fetch.h"
 
 #include <arpa/inet.h>
--- a/entry/idle.c
+++ b/entry/idle.c
@@ -18,7 +18,7 @@
  */
 #define IDLE_TIME TR_SEC(2)
 /* How often all targets are checked. */
-#define LOOK_EVERY TR_MSEC(200)
+#define CHECK_INTERVAL TR_MSEC(200)
 /* How often the floor of all services is checked. */
 #define FLOOR_LOG_PERIOD TR_SEC(1)
 /* VMs that log the same target or service. */
@@ -192,7 +192,7 @@
  */
 void idle_step(struct entry *e, apr_time_t now)
 {
-	if (now - e->idle_checked_at < LOOK_EVERY)
+	if (now - e->idle_checked_at < CHECK_INTERVAL)
 		return;
 	e->idle_checked_at = now;
 	if (now - e->floors_logged_at >= FLOOR_LOG_PERIOD) {
--- a/entry/idle.h
+++ b/entry/idle.h
@@ -1,9 +1,7 @@
 #ifndef IDLE_H
 #define IDLE_H
 
-/*
- * Log lines about idle targets and about services that fall short of the floor.
- */
+/* Logs idle targets and services that fall short of their floor. */
 #include "entry.h"
 
 void idle_step(struct entry *e, apr_time_t now);
--- a/entry/kept.c
+++ b/entry/kept.c
@@ -45,15 +45,15 @@
 
 static void remove_stream(struct pooled_stream *k)
 {
-	struct kept *kept = &k->e->kept;
-	struct pooled_stream **at = &kept->first;
+	struct idle_conns *idle_conns = &k->e->idle_conns;
+	struct pooled_stream **at = &idle_conns->first;
 
 	while (*at != k)
 		at = &(*at)->next;
 	*at = k->next;
-	kept->count--;
+	idle_conns->count--;
 	if (k->e->roster.rows[k->row].hash == k->hash)
-		k->e->roster.rows[k->row].kept--;
+		k->e->roster.rows[k->row].idle_conns--;
 	stream_close(&k->stream);
 	free(k);
 }
@@ -77,11 +77,11 @@
 	.ended = ended,
 };
 
-static struct pooled_stream *oldest(const struct kept *kept)
+static struct pooled_stream *oldest(const struct idle_conns *idle_conns)
 {
-	struct pooled_stream *found = kept->first;
+	struct pooled_stream *found = idle_conns->first;
 
-	for (struct pooled_stream *k = kept->first; k; k = k->next)
+	for (struct pooled_stream *k = idle_conns->first; k; k = k->next)
 		if (k->since < found->since)
 			found = k;
 	return found;
@@ -92,31 +92,31 @@
 void conn_pool_put(struct entry *e, struct stream *stream, uint32_t row,
 		   uint32_t hash, apr_time_t idle_timeout)
 {
-	struct kept *kept = &e->kept;
+	struct idle_conns *idle_conns = &e->idle_conns;
 	struct pooled_stream *k = calloc(1, sizeof(*k));
 
 	if (!k) {
 		stream_close(stream);
 		return;
 	}
-	if (kept->count == CONN_POOL_MAX)
-		remove_stream(oldest(kept));
+	if (idle_conns->count == CONN_POOL_MAX)
+		remove_stream(oldest(idle_conns));
 	k->e = e;
 	k->row = row;
 	k->hash = hash;
 	k->since = entry_now(e);
 	k->until = k->since + (apr_time_t)(IDLE_SHARE * (double)idle_timeout);
-	k->next = kept->first;
-	kept->first = k;
-	kept->count++;
+	k->next = idle_conns->first;
+	idle_conns->first = k;
+	idle_conns->count++;
 	if (e->roster.rows[row].hash == hash)
-		e->roster.rows[row].kept++;
+		e->roster.rows[row].idle_conns++;
 	stream_move(&k->stream, stream, &idle_calls, k);
 }
 
-static apr_time_t idle_limit(const struct kept *kept)
+static apr_time_t idle_limit(const struct idle_conns *idle_conns)
 {
-	return kept->idle_limit ? kept->idle_limit : IDLE_MAX;
+	return idle_conns->idle_limit ? idle_conns->idle_limit : IDLE_MAX;
 }
 
 /* Takes the target's most recently used connection out of the pool, if one
@@ -128,9 +128,9 @@
 	apr_time_t now = entry_now(e);
 	struct pooled_stream *found = NULL;
 
-	for (struct pooled_stream *k = e->kept.first; k; k = k->next)
+	for (struct pooled_stream *k = e->idle_conns.first; k; k = k->next)
 		if (k->row == row && k->hash == hash && now < k->until &&
-		    now - k->since <= idle_limit(&e->kept) &&
+		    now - k->since <= idle_limit(&e->idle_conns) &&
 		    (!found || k->since > found->since))
 			found = k;
 	if (!found)
@@ -149,12 +149,13 @@
 	apr_time_t now = entry_now(e);
 	struct pooled_stream *next;
 
-	if (lowered < idle_limit(&e->kept))
-		e->kept.idle_limit = lowered > IDLE_MIN ? lowered : IDLE_MIN;
-	e->kept.adjusted_at = now;
-	for (struct pooled_stream *k = e->kept.first; k; k = next) {
+	if (lowered < idle_limit(&e->idle_conns))
+		e->idle_conns.idle_limit =
+			lowered > IDLE_MIN ? lowered : IDLE_MIN;
+	e->idle_conns.adjusted_at = now;
+	for (struct pooled_stream *k = e->idle_conns.first; k; k = next) {
 		next = k->next;
-		if (now - k->since > e->kept.idle_limit)
+		if (now - k->since > e->idle_conns.idle_limit)
 			remove_stream(k);
 	}
 }
@@ -171,25 +172,27 @@
  * leaving, and raises the learned limit. To be called a few times a second. */
 void conn_pool_expire(struct entry *e)
 {
-	struct kept *kept = &e->kept;
+	struct idle_conns *idle_conns = &e->idle_conns;
 	apr_time_t now = entry_now(e);
 	struct pooled_stream *next;
 
-	for (struct pooled_stream *k = kept->first; k; k = next) {
+	for (struct pooled_stream *k = idle_conns->first; k; k = next) {
 		next = k->next;
 		if (is_expired(k, now))
 			remove_stream(k);
 	}
-	if (!kept->idle_limit || now - kept->adjusted_at < IDLE_GROWTH_INTERVAL)
+	if (!idle_conns->idle_limit ||
+	    now - idle_conns->adjusted_at < IDLE_GROWTH_INTERVAL)
 		return;
-	kept->adjusted_at = now;
-	kept->idle_limit = (apr_time_t)((double)kept->idle_limit * IDLE_GROWTH);
-	if (kept->idle_limit > IDLE_MAX)
-		kept->idle_limit = IDLE_MAX;
+	idle_conns->adjusted_at = now;
+	idle_conns->idle_limit =
+		(apr_time_t)((double)idle_conns->idle_limit * IDLE_GROWTH);
+	if (idle_conns->idle_limit > IDLE_MAX)
+		idle_conns->idle_limit = IDLE_MAX;
 }
 
 void conn_pool_clear(struct entry *e)
 {
-	while (e->kept.first)
-		remove_stream(e->kept.first);
+	while (e->idle_conns.first)
+		remove_stream(e->idle_conns.first);
 }
--- a/entry/kept.h
+++ b/entry/kept.h
@@ -8,7 +8,7 @@
 struct pooled_stream;
 
 /* Idle connections to targets. */
-struct kept {
+struct idle_conns {
 	struct pooled_stream *first;
 	unsigned count;
 	apr_time_t idle_limit;	/* learned; 0 before a connection was dead */
--- a/entry/mesh_fatal.c
+++ b/entry/mesh_fatal.c
@@ -70,16 +70,16 @@
 {
 	struct tr_fatal rows[MESH_MAX_FATALS];
 	unsigned max = rows_that_fit(room);
-	unsigned news =
+	unsigned added =
 		tr_fatal_collect_changed(&mesh->e->fatals, rows, max, now);
-	unsigned again = max - news;
+	unsigned again = max - added;
 
 	if (again > FATALS_RESENT)
 		again = FATALS_RESENT;
-	again = tr_fatal_collect_recent(&mesh->e->fatals, &rows[news], again,
+	again = tr_fatal_collect_recent(&mesh->e->fatals, &rows[added], again,
 					now);
-	add_rows(msg, storage, rows, news + again, now);
-	return news > 0;
+	add_rows(msg, storage, rows, added + again, now);
+	return added > 0;
 }
 
 /*
--- a/entry/mesh_groups.c
+++ b/entry/mesh_groups.c
@@ -221,7 +221,7 @@
 			 uint32_t ip, bool ready, uint32_t flags,
 			 apr_time_t now)
 {
-	const struct tr_node_status news = {
+	const struct tr_node_status status = {
 		.ip = ip,
 		.data_centre = msg->data_centre,
 		.ready = ready,
@@ -229,7 +229,7 @@
 		.cannot_read = flags & MESH_CANNOT_READ,
 	};
 
-	tr_membership_receive_indirect(&mesh->e->members, &news, now);
+	tr_membership_receive_indirect(&mesh->e->members, &status, now);
 }
 
 /* Handles another group's summary of its VMs and targets. */
--- a/entry/mesh_receive.c
+++ b/entry/mesh_receive.c
@@ -29,7 +29,7 @@
 			 uint32_t ip)
 {
 	struct entry *e = mesh->e;
-	struct tr_node_status news = {
+	struct tr_node_status status = {
 		.ip = ip,
 		.boot = msg->boot,
 		.sequence = msg->sequence,
@@ -48,7 +48,7 @@
 	bool restarted;
 
 	e->counts.messages_in++;
-	node = tr_membership_receive(&e->members, &news, now, &restarted);
+	node = tr_membership_receive(&e->members, &status, now, &restarted);
 	if (!node)
 		return;
 	if (restarted) {
--- a/entry/mesh_rows.c
+++ b/entry/mesh_rows.c
@@ -255,11 +255,11 @@
 	reported->in_flight = (uint16_t)in->in_flight;
 	node->reports_work = true;
 	for (int s = 0; s < TR_SYMPTOMS; s++) {
-		uint16_t news = totals.count[s] - reported->totals.count[s];
+		uint16_t added = totals.count[s] - reported->totals.count[s];
 
-		if (!news || old)
+		if (!added || old)
 			continue;
-		tr_roster_add_outcome(roster, row, (enum tr_symptom)s, news,
+		tr_roster_add_outcome(roster, row, (enum tr_symptom)s, added,
 				      now);
 	}
 	reported->totals = totals;
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -9,7 +9,7 @@
 #define REFUSAL_LINES_A_S 0.2
 /* Longer back-off times are clamped to this one: nothing else ends a back-off
  * that a target asked for by mistake. */
-#define REST_MAX TR_SEC(600)
+#define BACKOFF_MAX TR_SEC(600)
 
 static void log_refused_notice(struct entry *e, const struct tr_instance *row,
 			       const char *field, const char *expected)
@@ -89,11 +89,11 @@
  * the other VMs continue. Logged when a back-off begins, not when it is
  * extended.
  */
-static void apply_rest(struct tr_instance *row, apr_time_t backoff,
-		       apr_time_t now)
+static void apply_backoff(struct tr_instance *row, apr_time_t backoff,
+			  apr_time_t now)
 {
-	if (backoff > REST_MAX)
-		backoff = REST_MAX;
+	if (backoff > BACKOFF_MAX)
+		backoff = BACKOFF_MAX;
 	if (row->backoff_until <= now)
 		eventlog(EVENT_STATE, "target-rests", "id=%s rest_ms=%ld",
 			 row->id, (long)(backoff / 1000));
@@ -124,5 +124,5 @@
 	if (notice.backoff_state == TR_NOTICE_INVALID)
 		log_refused_notice(e, row, "rest", "seconds");
 	else if (notice.backoff_state == TR_NOTICE_GIVEN)
-		apply_rest(row, notice.backoff, entry_now(e));
+		apply_backoff(row, notice.backoff, entry_now(e));
 }
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -39,7 +39,7 @@
  * lacks. */
 #define START_WAIT_MAX TR_MSEC(3000)
 /* How often a VM that does not read checks whether it should. */
-#define LOOK_EVERY TR_MSEC(100)
+#define CHECK_INTERVAL TR_MSEC(100)
 /* Answers take milliseconds, under bad conditions some 60 times as long. */
 #define TIMEOUT TR_MSEC(700)
 /* Delay after a failure, doubled up to the maximum, so that the fleet does not
@@ -294,7 +294,7 @@
 		return;
 	if (!should_read(r, now)) {
 		if (e->roster.confirmed_at && e->routes)
-			r->next_at = now + LOOK_EVERY;
+			r->next_at = now + CHECK_INTERVAL;
 		return;
 	}
 	/* A watch needs a complete list to start from. */
--- a/entry/toucanreel_entry.c
+++ b/entry/toucanreel_entry.c
@@ -156,8 +156,8 @@
 }
 
 /*
- * Updates whether this VM is named to callers, which it is not while it may not
- * use callers' keys, and reports and logs a change.
+ * Updates whether this VM is listed in lookups, which it is not while it may
+ * not use callers' keys, and reports and logs a change.
  */
 static void update_readiness(struct entry *e)
 {
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -58,8 +58,8 @@
 /*
  * Records a symptom of the target. A first failure is reported to the other VMs
  * at once and not with the next message: until they know, they keep sending
- * there. This gains 0.003 of worth (18 paired days of 44 VMs before 36
- * targets).
+ * there. This gained 0.003 of the goodput (18 pairs of runs with 44 VMs and
+ * 36 targets).
  */
 static void report_symptom(struct upstream *u, struct tr_instance *row,
 			   enum tr_symptom symptom)
@@ -87,14 +87,14 @@
 	struct tr_roster *roster = &u->e->roster;
 	apr_time_t now = entry_now(u->e);
 	apr_time_t took = now - u->sent_at;
-	apr_time_t most = u->expected * MAX_LEARNED_FACTOR;
+	apr_time_t max = u->expected * MAX_LEARNED_FACTOR;
 	bool calm = !u->queued &&
 		    tr_gray_probability(&row->gray, now) < MAX_LEARN_RISK;
 
 	report_symptom(u, row, tr_gray_answer_symptom(u->stage));
 	if (row->cold_until < now)
 		tr_service_stats_add_answer(&roster->services[row->service],
-					    took < most ? took : most, calm);
+					    took < max ? took : max, calm);
 }
 
 /*
@@ -182,7 +182,7 @@
 	const char *text = message_header(&u->response, "Keep-Alive");
 	const char *timeout = text ? strstr(text, "timeout=") : NULL;
 
-	if (!u->keeps || !u->response.complete || !u->response.keep_alive ||
+	if (!u->use_pool || !u->response.complete || !u->response.keep_alive ||
 	    !u->response.framed || !stream_is_drained(&u->stream))
 		return 0;
 	if (!timeout)
@@ -405,8 +405,8 @@
 static void reconnect(struct upstream *u)
 {
 	u->e->counts.reused_dead++;
-	conn_pool_report_dead(u->e, u->kept_idle_time);
-	u->kept_idle_time = 0;
+	conn_pool_report_dead(u->e, u->pool_idle_time);
+	u->pool_idle_time = 0;
 	u->reconnected = true;
 	u->connected = false;
 	u->started_at = entry_now(u->e);
@@ -431,7 +431,7 @@
 		finish(u, connect_failed_end(u));
 		return;
 	}
-	if (u->kept_idle_time && !u->response.begun) {
+	if (u->pool_idle_time && !u->response.begun) {
 		reconnect(u);
 		return;
 	}
@@ -468,8 +468,8 @@
 /* Sends the request on an idle connection, if there is one. */
 static bool reuse_connection(struct upstream *u)
 {
-	if (!u->keeps || !conn_pool_get(u->e, u->row, u->hash, &u->stream,
-					&callbacks, u, &u->kept_idle_time))
+	if (!u->use_pool || !conn_pool_get(u->e, u->row, u->hash, &u->stream,
+					   &callbacks, u, &u->pool_idle_time))
 		return false;
 	u->e->counts.reused++;
 	send_request(u);
@@ -494,8 +494,8 @@
 	u->expected = request->expected;
 	u->spread = request->spread;
 	u->queued = request->queued;
-	u->keeps = request->keeps;
-	u->kept_idle_time = 0;
+	u->use_pool = request->use_pool;
+	u->pool_idle_time = 0;
 	u->reconnected = false;
 	u->probe_timer = NULL;
 	u->target_exited = false;
--- a/entry/upstream.h
+++ b/entry/upstream.h
@@ -38,9 +38,9 @@
 	apr_time_t expected;
 	double spread;
 	bool queued;
-	bool keeps;
+	bool use_pool;
 	/* How long the reused connection was idle; 0 for a new one. */
-	apr_time_t kept_idle_time;
+	apr_time_t pool_idle_time;
 	bool reconnected;		/* a reused connection was dead */
 	struct loop_timer *probe_timer; /* runs during probe_target() */
 	apr_time_t broken_at;		/* when the connection broke off */
@@ -67,8 +67,8 @@
 	bool head_only;
 	/* Behind other work of the target. */
 	bool queued;
-	/* It may be sent again, so an idle connection may be used for it. */
-	bool keeps;
+	/* It may be sent again, so a pooled connection may be used for it. */
+	bool use_pool;
 	/* The expected latency with any wait in the target's queue. */
 	apr_time_t expected;
 	/* Standard deviation of the logarithm of the latency. */
--- a/lib/dispatch.c
+++ b/lib/dispatch.c
@@ -287,14 +287,15 @@
 }
 
 /*
- * Checks up to most records and frees those of finished requests whose key has
- * expired. That is safe because tr_dispatcher_admit() refuses expired keys.
+ * Checks up to max_records rows and frees those of finished requests whose key
+ * has expired. That is safe because tr_dispatcher_admit() refuses expired keys.
  */
-void tr_dispatcher_sweep(struct tr_dispatcher *d, apr_time_t now, uint32_t most)
+void tr_dispatcher_sweep(struct tr_dispatcher *d, apr_time_t now,
+			 uint32_t max_records)
 {
-	if (most > d->capacity)
-		most = d->capacity;
-	while (most--) {
+	if (max_records > d->capacity)
+		max_records = d->capacity;
+	while (max_records--) {
 		uint32_t i = d->sweep_index;
 		const struct tr_dispatch_record *r = &d->records[i];
 
--- a/lib/dispatch.h
+++ b/lib/dispatch.h
@@ -77,6 +77,6 @@
 			  const char *content_type, const char *answer,
 			  size_t answer_len);
 void tr_dispatcher_sweep(struct tr_dispatcher *d, apr_time_t now,
-			 uint32_t most);
+			 uint32_t max_records);
 
 #endif
--- a/lib/document.c
+++ b/lib/document.c
@@ -73,16 +73,16 @@
 	return 0;
 }
 
-static int check_range(uint32_t value, uint32_t least, uint32_t most,
+static int check_range(uint32_t value, uint32_t min, uint32_t max,
 		       const char *field, struct tr_error *err)
 {
 	char text[16];
 
-	if (value >= least && value <= most)
+	if (value >= min && value <= max)
 		return 0;
 	snprintf(text, sizeof(text), "%u", value);
 	return tr_error_set(err, TR_OUT_OF_RANGE, field, text,
-			    "expected %u to %u", least, most);
+			    "expected %u to %u", min, max);
 }
 
 static int check_data_centres(const struct tr_document *doc,
@@ -229,7 +229,7 @@
 {
 	const struct {
 		const char *field;
-		uint32_t value, least, most;
+		uint32_t value, min, max;
 	} rows[] = {
 		{ "slots", doc->slots, 1, 10000 },
 		{ "connections", doc->connections, 1, 100000 },
@@ -246,7 +246,7 @@
 	};
 
 	for (size_t i = 0; i < sizeof(rows) / sizeof(rows[0]); i++)
-		if (check_range(rows[i].value, rows[i].least, rows[i].most,
+		if (check_range(rows[i].value, rows[i].min, rows[i].max,
 				rows[i].field, err))
 			return -1;
 	if (doc->ejection.false_per_day < 1e-6 ||
--- a/lib/fatal.c
+++ b/lib/fatal.c
@@ -1,5 +1,5 @@
 /*
- * Requests that crash the targets that run them (a query of death; Beyer et
+ * Requests that crash the targets that run them (queries of death; Beyer et
  * al., Site Reliability Engineering, 2016, on cascading failures).
  *
  * Failure that this prevents: such a request is sent again under a new id, to
--- a/lib/fleet.c
+++ b/lib/fleet.c
@@ -21,26 +21,26 @@
 };
 
 /*
- * Inserts into a list sorted by falling score, which keeps at most most
+ * Inserts into a list sorted by falling score, which keeps at most max
  * entries. Returns the new length.
  */
-static size_t insert_best(struct candidate *best, size_t count, size_t most,
+static size_t insert_best(struct candidate *best, size_t count, size_t max,
 			  struct candidate c)
 {
 	size_t at = count;
 
 	while (at > 0 && best[at - 1].score < c.score)
 		at--;
-	if (at >= most)
+	if (at >= max)
 		return count;
-	if (count < most)
+	if (count < max)
 		count++;
 	memmove(&best[at + 1], &best[at], (count - at - 1) * sizeof(*best));
 	best[at] = c;
 	return count;
 }
 
-static size_t best_in_data_centre(struct candidate *best, size_t most,
+static size_t best_in_data_centre(struct candidate *best, size_t max,
 				  const struct tr_fleet *fleet,
 				  const char *centre, uint64_t service)
 {
@@ -52,7 +52,7 @@
 				       (uint32_t)i };
 
 		if (!vm->leaving && !strcmp(vm->data_centre, centre))
-			count = insert_best(best, count, most, c);
+			count = insert_best(best, count, max, c);
 	}
 	return count;
 }
@@ -100,18 +100,18 @@
 
 /*
  * Orders the cell for one caller: VMs of its data centre first, then by a score
- * salted with the caller, so that callers are spread. Writes up to most indexes
+ * salted with the caller, so that callers are spread. Writes up to max indexes
  * into out and returns their number.
  */
 size_t tr_cell_lookup(const struct tr_cell *cell, const struct tr_fleet *fleet,
 		      const char *data_centre, uint64_t salt, uint32_t *out,
-		      size_t most)
+		      size_t max)
 {
 	struct candidate best[TR_MAX_CELL];
 	size_t count = 0;
 
-	if (most > TR_MAX_CELL)
-		most = TR_MAX_CELL;
+	if (max > TR_MAX_CELL)
+		max = TR_MAX_CELL;
 	for (size_t i = 0; i < cell->count; i++) {
 		const struct tr_vm *vm = &fleet->vms[cell->members[i]];
 		struct candidate c = { tr_hash_pair(salt, vm->id) >> 1,
@@ -119,7 +119,7 @@
 
 		if (data_centre && !strcmp(vm->data_centre, data_centre))
 			c.score |= 1ULL << 63;
-		count = insert_best(best, count, most, c);
+		count = insert_best(best, count, max, c);
 	}
 	for (size_t i = 0; i < count; i++)
 		out[i] = best[i].index;
--- a/lib/fleet.h
+++ b/lib/fleet.h
@@ -44,6 +44,6 @@
 		 uint64_t vm_id);
 size_t tr_cell_lookup(const struct tr_cell *cell, const struct tr_fleet *fleet,
 		      const char *data_centre, uint64_t salt, uint32_t *out,
-		      size_t most);
+		      size_t max);
 
 #endif
--- a/lib/gossip.c
+++ b/lib/gossip.c
@@ -33,12 +33,12 @@
 		     struct tr_gossip *msg, apr_time_t now)
 {
 	unsigned n = svc->targets_count;
-	unsigned most = (n + 2) / 3;
+	unsigned max_rows = (n + 2) / 3;
 
 	for (unsigned i = 0; i < n && msg->rows_count < TR_GOSSIP_ROWS; i++)
 		if (is_urgent(svc, &svc->targets[i], now))
 			add_row(msg, &svc->targets[i]);
-	for (unsigned i = 0; i < n && msg->rows_count < most; i++) {
+	for (unsigned i = 0; i < n && msg->rows_count < max_rows; i++) {
 		const struct tr_target *target = &svc->targets[(start + i) % n];
 
 		if (!is_urgent(svc, target, now))
--- a/lib/gray.c
+++ b/lib/gray.c
@@ -21,9 +21,9 @@
 #define MIN_LOG_ODDS (-3.5)
 /* Time constant of the decay, in seconds. Operators report gray spells of some
  * seconds; spells of 7 to 9 s were measured where every target was used
- * throughout. Learning the length of spells from probes gained nothing (0.720
- * of worth against 0.729 on a quiet day with 345 targets, 0.721 against 0.721
- * with 271). */
+ * throughout. Learning the length of spells from probes gained nothing: goodput
+ * at low load was 0.720 instead of 0.729 with 345 targets, and 0.721 in both
+ * cases with 271. */
 #define DECAY_S 6.0
 
 /* What an outcome adds to the log-odds: ln P(outcome | gray) / P(outcome |
@@ -97,9 +97,9 @@
 void tr_gray_set_probability(struct tr_gray *gray, double probability,
 			     apr_time_t now)
 {
-	double most = probability_of(MAX_LOG_ODDS);
-	double least = probability_of(MIN_LOG_ODDS);
-	double p = fmin(most, fmax(least, probability));
+	double max = probability_of(MAX_LOG_ODDS);
+	double min = probability_of(MIN_LOG_ODDS);
+	double p = fmin(max, fmax(min, probability));
 
 	gray->log_odds = log(p / (1 - p));
 	gray->updated_at = now;
--- a/lib/group.c
+++ b/lib/group.c
@@ -8,7 +8,7 @@
  * Without groups the messages that a VM receives, stores and handles grow with
  * the fleet, so that the larger the fleet is, the less often VMs can report. In
  * one group of 442 VMs a gray target was reported after 0.44 s, a lost VM was
- * named to callers for 13 s, a VM used 18 MB, and 0.108 of a quiet day's
+ * listed in lookups for 13 s, a VM used 18 MB, and at low load 0.108 of the
  * requests failed. In groups a VM receives what it would in a fleet of some 40:
  * 0.036 failed, 4 MB.
  */
@@ -21,13 +21,13 @@
 #include "hash.h"
 #include "mechanism.h"
 
-/* The largest fleet that is one group. Up to this size news of a target reaches
- * all VMs that use it within 0.1 s at a thousand messages per second and VM,
- * and a retry budget shared by all is used best. */
+/* The largest fleet that is one group. Up to this size a report about a target
+ * reaches all VMs that use it within 0.1 s at a thousand messages per second
+ * and VM, and a retry budget shared by all is used best. */
 #define SINGLE_GROUP_MAX 100
 /* The largest group; a data centre with more VMs is split. In groups of 74, one
- * per data centre, 0.038 of the requests failed instead of 0.036, and a day
- * cost as much. */
+ * per data centre, 0.038 of the requests failed instead of 0.036, at the same
+ * cost. */
 #define GROUP_MAX 60
 /* How often the VMs that are alive are counted. */
 #define COUNT_INTERVAL TR_MSEC(100)
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -24,8 +24,8 @@
  */
 #define PERIOD_PER_VM TR_MSEC(15)
 /*
- * Routine messages that may be missing before a VM is no longer named to
- * callers, and before it counts as down. On a bad link one datagram in fifty is
+ * Routine messages that may be missing before a VM is no longer listed in
+ * lookups, and before it counts as down. On a bad link one datagram in fifty is
  * lost: two in a row are rare, four do not occur.
  */
 #define MISSED_NAMED 2
@@ -41,11 +41,11 @@
 #define RECENT_MIN  TR_MSEC(200)
 #define GAP_WEIGHT  8
 /*
- * How long a VM of another group is named to callers, and counts as up, after
+ * How long a VM of another group is listed in lookups, and counts as up, after
  * the last summary that listed it: the time of four and of eight summaries.
  */
-#define AWAY_NAMED TR_MSEC(1000)
-#define AWAY_DOWN  TR_MSEC(2000)
+#define REMOTE_NAMED TR_MSEC(1000)
+#define REMOTE_DOWN  TR_MSEC(2000)
 /*
  * Time between two probes of a lost VM's address. Surviving VMs never stop:
  * otherwise a VM that restarts when all of its seeds are down would not be
@@ -74,7 +74,7 @@
  * VMs that watch the platform, in different data centres if there are several:
  * with two, updates still arrive while one is frozen or cut off.
  */
-#define READERS_PER_SERVICE 2
+#define READERS 2
 
 static struct tr_node *add_node(struct tr_membership *m, uint32_t ip)
 {
@@ -365,7 +365,7 @@
 {
 	apr_time_t span = tr_membership_period(m, now) * MISSED_DOWN + SLACK;
 
-	return heard_within(m, node, node->near ? span : AWAY_DOWN, now);
+	return heard_within(m, node, node->near ? span : REMOTE_DOWN, now);
 }
 
 /*
@@ -388,7 +388,7 @@
 	apr_time_t span = tr_membership_period(m, now) * MISSED_NAMED + SLACK;
 
 	return node->ready && !node->leaving &&
-	       heard_within(m, node, node->near ? span : AWAY_NAMED, now);
+	       heard_within(m, node, node->near ? span : REMOTE_NAMED, now);
 }
 
 /*
@@ -452,12 +452,12 @@
 static apr_time_t max_silence(const struct tr_membership *m,
 			      const struct tr_node *node, apr_time_t now)
 {
-	apr_time_t most = tr_membership_period(m, now) + SLACK;
+	apr_time_t max = tr_membership_period(m, now) + SLACK;
 	apr_time_t span = RECENT_GAPS * node->gap;
 
 	if (span < RECENT_MIN)
 		span = RECENT_MIN;
-	return span < most ? span : most;
+	return span < max ? span : max;
 }
 
 /* Returns whether the VM has not been silent for much longer than usual. */
@@ -475,7 +475,7 @@
  * groups, VMs that are up. Limits for the whole fleet cannot wait until a
  * silent VM counts as down: in the load test of limits, half of the VMs, cut
  * off during a flood, let through 1.23 times what operators allow by then. Nor
- * can they wait for a routine message: with that, one of seven simulated days
+ * can they wait for a routine message: with that, one of seven simulated runs
  * with a third of the VMs cut off during a flood reached 1.012 times.
  */
 double tr_membership_recent_share(const struct tr_membership *m, apr_time_t now)
@@ -515,7 +515,7 @@
  * down, or have one, the list would grow older than operators allow. VMs that
  * failed to read do count: otherwise, while the store is down, each failure
  * makes the next VM read, until all VMs of a large fleet call the store; 442
- * VMs made 4,062 calls in one day with such an outage.
+ * VMs made 4,062 calls in one run with such an outage.
  */
 unsigned tr_membership_read_rank(const struct tr_membership *m, apr_time_t now)
 {
@@ -562,11 +562,10 @@
  */
 bool tr_membership_is_reader(const struct tr_membership *m, apr_time_t now)
 {
-	const struct tr_node *chosen[READERS_PER_SERVICE];
+	const struct tr_node *chosen[READERS];
 
-	unsigned readers = tr_mechanism_enabled(TR_MECH_TWO_READERS)
-				   ? READERS_PER_SERVICE
-				   : 1;
+	unsigned readers =
+		tr_mechanism_enabled(TR_MECH_TWO_READERS) ? READERS : 1;
 
 	for (unsigned n = 0; n < readers; n++) {
 		chosen[n] = best_reader(m, chosen, n, true, now);
--- a/lib/place.c
+++ b/lib/place.c
@@ -79,7 +79,7 @@
 #define RETRY_AFTER_DEFAULT_US 300e3
 #define RETRY_AFTER_MAX_US     3e6
 /* Interval in us over which callers return after a target's requested pause. */
-#define REST_JITTER_US 1e6
+#define BACKOFF_JITTER_US 1e6
 
 static double gumbel(struct tr_random *random)
 {
@@ -155,7 +155,7 @@
 static double reuse_gain(const struct tr_instance *row,
 			 const struct tr_place_request *req)
 {
-	return req->keeps && row->kept ? REUSE_GAIN : 0;
+	return req->use_pool && row->idle_conns ? REUSE_GAIN : 0;
 }
 
 static double target_cost(const struct tr_instance *row,
@@ -291,7 +291,7 @@
 	double loss = expected_failure_cost(req);
 	unsigned fitting = 0;
 	unsigned limited = 0;
-	unsigned resting = 0;
+	unsigned backing_off = 0;
 	apr_time_t shortest_time = APR_INT64_MAX;
 	uint32_t limited_choice = draw_limited_target(roster, req, random, now);
 	uint32_t picked;
@@ -299,7 +299,7 @@
 	tr_floor_check_init(
 		&check, req->may_repeat &&
 				tr_mechanism_enabled(TR_MECH_SUSPECT_PROBES));
-	tr_floor_check_set_rotation(&check, &req->turns);
+	tr_floor_check_set_rotation(&check, &req->rotation);
 	tr_floor_check_set_load(&check, &load);
 	placement->row = TR_NO_ROW;
 	placement->cost = INFINITY;
@@ -313,7 +313,7 @@
 		    !tr_instance_serves(row, now))
 			continue;
 		if (!tr_instance_usable(row, now)) {
-			resting++;
+			backing_off++;
 			continue;
 		}
 		known++;
@@ -355,7 +355,7 @@
 	if (fitting)
 		return TR_PLACE_FOUND;
 	if (!known)
-		return resting ? TR_PLACE_BACKING_OFF : TR_PLACE_NONE_KNOWN;
+		return backing_off ? TR_PLACE_BACKING_OFF : TR_PLACE_NONE_KNOWN;
 	if (limited)
 		return TR_PLACE_LIMITED;
 	return untried ? TR_PLACE_TOO_LATE : TR_PLACE_ALL_TRIED;
@@ -416,6 +416,6 @@
 		after = fmin(1e6 / capacity.limits, RETRY_AFTER_MAX_US);
 	else if (capacity.rested_at != APR_INT64_MAX)
 		return capacity.rested_at - now +
-		       (apr_time_t)(REST_JITTER_US * spread);
+		       (apr_time_t)(BACKOFF_JITTER_US * spread);
 	return (apr_time_t)(after * (1 + spread));
 }
--- a/lib/place.h
+++ b/lib/place.h
@@ -24,8 +24,8 @@
 	unsigned tried_count;
 	uint64_t body_bytes;
 	double floor_share;
-	/* The request may be sent on an idle connection to the target. */
-	bool keeps;
+	/* Whether a pooled idle connection to the target may be used. */
+	bool use_pool;
 	/* Whether another attempt may be sent if this one fails. */
 	bool may_repeat;
 	/* Work has taken longer than the latency aim for a while. */
@@ -35,7 +35,7 @@
 	/* Share of the fleet that this VM receives messages from. */
 	double heard;
 	/* This VM's position among the VMs that send requests for the floor. */
-	struct tr_floor_rotation turns;
+	struct tr_floor_rotation rotation;
 };
 
 /* The chosen target and what was expected of it. */
--- a/lib/proof.c
+++ b/lib/proof.c
@@ -33,7 +33,7 @@
  */
 #define REPLY_TIMEOUT TR_MSEC(100)
 /*
- * By how much the proof of the other VM must be newer to be worth a query, as a
+ * By how much the proof of another VM must be newer to justify a query, as a
  * share of the bound.
  */
 #define MIN_GAIN_SHARE 0.04
--- a/lib/roster.h
+++ b/lib/roster.h
@@ -77,7 +77,7 @@
 	apr_time_t backoff_until;
 	uint32_t in_flight;
 	/* This VM's idle connections to it. */
-	uint32_t kept;
+	uint32_t idle_conns;
 	uint32_t others_in_flight;
 	/* When the newest request was sent there, by any VM. */
 	apr_time_t used_at;
--- a/src/capacity.c
+++ b/src/capacity.c
@@ -19,7 +19,7 @@
 #define RAISED_GOSSIP_PERIOD_S	0.5
 #define STEPS_PER_S		20.0
 #define WATCH_PERIOD_S		20.0
-#define READERS_PER_SERVICE	2.0
+#define READERS			2.0 /* per service */
 #define LIST_READERS_PER_CENTRE 3.0
 /* Target rate of the polls of all VMs together, from which the poll period of a
  * VM that does not watch follows, and the least period. */
@@ -198,7 +198,7 @@
 		z->routes / z->services * l->services * s->route_kb / 1024 +
 		l->records * s->record_bytes / 1048576 +
 		z->vms * z->list_row_bytes * 2 / 1048576;
-	c.calls = z->services * READERS_PER_SERVICE / WATCH_PERIOD_S +
+	c.calls = z->services * READERS / WATCH_PERIOD_S +
 		  z->services * z->cell / l->poll_period_s +
 		  LIST_READERS_PER_CENTRE * z->data_centres *
 			  (1 / WATCH_PERIOD_S + list_changes);
--- a/tests/floor_fleet_load_test.cc
+++ b/tests/floor_fleet_load_test.cc
@@ -277,7 +277,7 @@
 		req.data_centre = "dc";
 		req.floor_share = 0.7;
 		req.request_rate = plan.rate;
-		req.turns = { v, plan.vms };
+		req.rotation = { v, plan.vms };
 		req.tried = tried.data();
 		req.tried_count = (unsigned)tried.size();
 		if (tr_place(roster, &req, &random, now, &p) !=
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -77,9 +77,9 @@
 TEST_F(Place, AnIdleConnectionIsPreferredAmongEqualTargets)
 {
 	add_many(4);
-	roster.rows[2].kept = 1;
+	roster.rows[2].idle_conns = 1;
 	EXPECT_LT(draw(1000)[2], 350);
-	req.keeps = true;
+	req.use_pool = true;
 	EXPECT_GT(draw(1000)[2], 450);
 	roster.rows[2].in_flight = 3;
 	EXPECT_LT(draw(1000)[2], 350);
