--- a/entry/entry.c
+++ b/entry/entry.c
@@ -21,7 +21,7 @@
  */
 #define MAX_HOLD TR_MSEC(300)
 /* Mean rate at which entries that cannot be read are logged. */
-#define REFUSAL_LINES_A_S 2
+#define REFUSAL_LINES_PER_S 2
 
 /*
  * Returns whether the process was paused since the last step of the loop, and
@@ -152,7 +152,7 @@
 	if (*record->id)
 		tr_roster_reject_entry(&e->roster, record->id, item->revision,
 				       now);
-	if (!tr_pacer_allows(&e->refusal_log_limiter, REFUSAL_LINES_A_S, now))
+	if (!tr_pacer_allows(&e->refusal_log_limiter, REFUSAL_LINES_PER_S, now))
 		return;
 	tr_pacer_consume(&e->refusal_log_limiter, 1);
 	eventlog(EVENT_FAILURE, "target-refused",
--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -88,7 +88,7 @@
 		.request_rate =
 			tr_allowance_rate(entry_allowance(x->e, x->service),
 					  &e->repeat_bound, now),
-		.heard = exchange_heard_share(x),
+		.heard_share = exchange_heard_share(x),
 	};
 
 	req.rotation.rank =
--- a/entry/exchange_internal.h
+++ b/entry/exchange_internal.h
@@ -48,7 +48,7 @@
 	bool needs_key;	      /* the route takes only requests with a key */
 	bool use_pool;	      /* may use and return pooled connections */
 	bool budget_exhausted;	/* the bound denied a repeat */
-	apr_time_t retry_after; /* the least to tell the caller */
+	apr_time_t retry_after; /* lower bound of the Retry-After */
 	bool maybe_ran;		/* an attempt that ended may have run */
 	bool done;		/* replied or abandoned, to be freed */
 	struct loop_timer *timer;
--- a/entry/exchange_reply.c
+++ b/entry/exchange_reply.c
@@ -22,7 +22,7 @@
 }
 
 /*
- * Returns the share of the fleet that this VM has heard lately, on which the
+ * Returns the share of the fleet that this VM has heard recently, on which the
  * limits of targets depend; 1 while no target has a limit.
  */
 double exchange_heard_share(const struct exchange *x)
@@ -150,7 +150,7 @@
 		const struct tr_place_request req = {
 			.service = x->service,
 			.expected_work = exchange_typical_latency(x),
-			.heard = exchange_heard_share(x),
+			.heard_share = exchange_heard_share(x),
 		};
 
 		after = tr_place_retry_after(&e->roster, &req, &e->random,
--- a/entry/idle.c
+++ b/entry/idle.c
@@ -1,7 +1,7 @@
 /*
- * Logs targets that serve but get no requests, with what this VM assumes of
- * them, which tells why the fleet sent none there; and services whose targets
- * in use are fewer than the floor asks for.
+ * Logs targets that serve but get no requests, with what this VM knows of them,
+ * which shows why the fleet sent none there; and services that have fewer
+ * targets in use than the floor requires.
  */
 #include "idle.h"
 
@@ -61,7 +61,7 @@
 
 /*
  * Targets of a service that had no request for IDLE_TIME, counted by their
- * standing with the floor.
+ * state in the floor check.
  */
 struct idle_targets {
 	unsigned count[TR_FLOOR_IDLE + 1];
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -34,7 +34,7 @@
 #define URGENT_GAP_PER_VM 1000
 #define NODES_ADVERTISED  3
 /* Log lines a second, on average, about messages that are rejected. */
-#define REFUSAL_LINES_A_S 0.2
+#define REFUSAL_LINES_PER_S 0.2
 /* Interval at which lost VMs are contacted; a VM that is not ready yet does so
  * in every step. */
 #define CONTACT_INTERVAL TR_MSEC(100)
@@ -108,7 +108,7 @@
 	char ip[INET_ADDRSTRLEN] = "";
 
 	mesh->e->counts.messages_refused++;
-	if (!tr_pacer_allows(&mesh->rejection_log_pacer, REFUSAL_LINES_A_S,
+	if (!tr_pacer_allows(&mesh->rejection_log_pacer, REFUSAL_LINES_PER_S,
 			     entry_now(mesh->e)))
 		return;
 	tr_pacer_consume(&mesh->rejection_log_pacer, 1);
--- a/entry/mesh.h
+++ b/entry/mesh.h
@@ -9,7 +9,7 @@
 void mesh_schedule_report(struct mesh *mesh);
 void mesh_broadcast_list(struct mesh *mesh);
 void mesh_broadcast_now(struct mesh *mesh);
-void mesh_broadcast_limit(struct mesh *mesh, uint32_t place);
+void mesh_broadcast_limit(struct mesh *mesh, uint32_t limit_index);
 void mesh_broadcast_leaving(struct mesh *mesh, uint32_t target);
 void mesh_add_seeds(struct mesh *mesh);
 uint32_t mesh_proof_age(const struct entry *e);
--- a/entry/mesh_notices.c
+++ b/entry/mesh_notices.c
@@ -96,26 +96,26 @@
 	apr_time_t named_at =
 		tr_send_limit_report_time(TR_MSEC(in->age_ms), now);
 	struct tr_sent_report *reported;
-	uint32_t place;
+	uint32_t limit_index;
 
 	if (!row || !row->used)
 		return;
-	place = tr_roster_limit_index(roster, row);
+	limit_index = tr_roster_limit_index(roster, row);
 	if (in->rate == MESH_NO_LIMIT)
+		notices_log_limit(row, &roster->limits.rows[limit_index],
+				  tr_send_limit_clear(&roster->limits,
+						      limit_index, named_at),
+				  "peer");
+	else
 		notices_log_limit(
-			row, &roster->limits.rows[place],
-			tr_send_limit_clear(&roster->limits, place, named_at),
+			row, &roster->limits.rows[limit_index],
+			tr_send_limit_set(&roster->limits, limit_index,
+					  in->rate / RATE_UNIT, named_at, now),
 			"peer");
-	else
-		notices_log_limit(row, &roster->limits.rows[place],
-				  tr_send_limit_set(&roster->limits, place,
-						    in->rate / RATE_UNIT,
-						    named_at, now),
-				  "peer");
 	if (!node->near)
 		return;
 	reported = tr_node_sent_report(node, in->target);
-	tr_send_limit_reported(&roster->limits.rows[place],
+	tr_send_limit_reported(&roster->limits.rows[limit_index],
 			       (uint16_t)(in->sent - reported->sent),
 			       tr_membership_recent_share(&e->members, now),
 			       now);
@@ -197,7 +197,7 @@
 
 /* Broadcasts a limit that this VM has just heard of, also to the other groups,
  * whose VMs may send requests to the target as well. */
-void mesh_broadcast_limit(struct mesh *mesh, uint32_t place)
+void mesh_broadcast_limit(struct mesh *mesh, uint32_t limit_index)
 {
 	apr_time_t now = entry_now(mesh->e);
 	struct mesh_limit limit;
@@ -205,7 +205,7 @@
 
 	mesh_fill_header(mesh, &msg);
 	msg.limits.limits_val = &limit;
-	add_limit(&msg, &mesh->e->roster.limits.rows[place], now);
+	add_limit(&msg, &mesh->e->roster.limits.rows[limit_index], now);
 	mesh_broadcast_near(mesh, &msg, now);
 	send_to_groups(mesh, &msg, now);
 }
--- a/entry/notices.c
+++ b/entry/notices.c
@@ -6,7 +6,7 @@
 #include "mesh.h"
 
 /* Log lines a second, on average, about unreadable announcements. */
-#define REFUSAL_LINES_A_S 0.2
+#define REFUSAL_LINES_PER_S 0.2
 /* Longer back-off times are clamped to this one: nothing else ends a back-off
  * that a target asked for by mistake. */
 #define BACKOFF_MAX TR_SEC(600)
@@ -17,7 +17,7 @@
 	apr_time_t now = entry_now(e);
 
 	e->counts.notices_refused++;
-	if (!tr_pacer_allows(&e->notice_log_limiter, REFUSAL_LINES_A_S, now))
+	if (!tr_pacer_allows(&e->notice_log_limiter, REFUSAL_LINES_PER_S, now))
 		return;
 	tr_pacer_consume(&e->notice_log_limiter, 1);
 	eventlog(EVENT_FAILURE, "notice-refused",
--- a/entry/reader.c
+++ b/entry/reader.c
@@ -17,7 +17,7 @@
 #include "spread.h"
 
 /* Timeout of a watch that sees no change. Changes are returned at once; the
- * timeout bounds the age of the list that a reader vouches for, at the price of
+ * timeout bounds the age of the list that a reader confirms, at the price of
  * one call each time: two readers make three calls a second. */
 #define WATCH_WAIT TR_MSEC(400)
 /* Pause between two watches. Targets that renew their records every second or
@@ -25,7 +25,7 @@
  * 50 ms, two readers made 24 calls a second for 345 targets. It delays changes
  * by a sixth of the two seconds that operators allow. */
 #define WATCH_INTERVAL TR_MSEC(250)
-/* The list is stale when no reader has vouched for it for two waits. */
+/* The list is stale when no reader has confirmed it for two waits. */
 #define VIEW_STALE TR_MSEC(1000)
 /* Added to that for each VM that ranks before this one. */
 #define VIEW_STALE_PER_RANK TR_MSEC(120)
--- a/lib/allowance.c
+++ b/lib/allowance.c
@@ -251,15 +251,15 @@
 {
 	double part_s = (double)bound->window / 1e6 / TR_ALLOWANCE_PARTS;
 	double all = 0;
-	double lately;
+	double recent;
 
 	advance_window(a, bound, now);
 	for (int i = 0; i < TR_ALLOWANCE_SLOTS; i++)
 		all += a->requests[i];
-	lately = a->requests[a->part % TR_ALLOWANCE_SLOTS] +
+	recent = a->requests[a->part % TR_ALLOWANCE_SLOTS] +
 		 a->requests[(a->part + TR_ALLOWANCE_PARTS) %
 			     TR_ALLOWANCE_SLOTS];
-	return fmax(all / (part_s * TR_ALLOWANCE_PARTS), lately / part_s);
+	return fmax(all / (part_s * TR_ALLOWANCE_PARTS), recent / part_s);
 }
 
 /* Sums the parts of the window, as of the last call that advanced it. */
--- a/lib/detector.c
+++ b/lib/detector.c
@@ -56,7 +56,7 @@
 }
 
 /* Returns this VM's index in the cell, used to spread the probes of its VMs. */
-static apr_time_t place_in_cell(const struct tr_board *board,
+static apr_time_t index_in_cell(const struct tr_board *board,
 				const struct tr_service *svc)
 {
 	for (size_t i = 0; i < svc->cell.count; i++)
@@ -79,7 +79,7 @@
 			  PROBES_PER_DETECTION;
 
 	target->probe_interval = step * vms;
-	target->last_probe_at = now - step * place_in_cell(board, svc);
+	target->last_probe_at = now - step * index_in_cell(board, svc);
 }
 
 static void cusum_outcome(struct tr_board *board, struct tr_service *svc,
--- a/lib/floor.c
+++ b/lib/floor.c
@@ -1,7 +1,8 @@
 /*
  * Picks the requests that keep a service above its floor: a minimum share of
  * its healthy targets must have had a request recently, even those suspected to
- * be gray, because most gray spells end by themselves and nobody reports that.
+ * be gray, because most gray failures end by themselves and nobody reports
+ * that.
  *
  * Operators leave out targets at which requests fail. If all VMs ended now,
  * that would be every target with a request in flight, so the share is kept
--- a/lib/permit.c
+++ b/lib/permit.c
@@ -351,7 +351,7 @@
 
 /*
  * Revokes orders, those with the least evidence first, when the floor was
- * raised or other targets went away.
+ * raised or other targets have left.
  */
 static void revoke_grants(struct tr_board *board, struct tr_service *svc,
 			  apr_time_t now)
--- a/lib/place.c
+++ b/lib/place.c
@@ -231,7 +231,7 @@
 
 		if (!l || row->remote || !is_candidate(row, i, req, now))
 			continue;
-		tokens = tr_send_limit_tokens(l, req->heard, now);
+		tokens = tr_send_limit_tokens(l, req->heard_share, now);
 		if (tokens < 1)
 			continue;
 		sum += tokens;
@@ -366,7 +366,7 @@
 	double in_flight;
 	double slots;
 	double limits;
-	apr_time_t rested_at;
+	apr_time_t backoff_ends_at;
 };
 
 static void add_capacity(struct capacity *capacity,
@@ -377,10 +377,10 @@
 	const struct tr_send_limit *l = tr_roster_limit(roster, row);
 
 	if (!tr_instance_usable(row, now)) {
-		if (row->backoff_until < capacity->rested_at)
-			capacity->rested_at = row->backoff_until;
+		if (row->backoff_until < capacity->backoff_ends_at)
+			capacity->backoff_ends_at = row->backoff_until;
 	} else if (l) {
-		capacity->limits += tr_send_limit_rate(l, req->heard);
+		capacity->limits += tr_send_limit_rate(l, req->heard_share);
 	} else {
 		capacity->in_flight += tr_instance_in_flight(row, now);
 		capacity->slots += row->slots;
@@ -398,7 +398,7 @@
 				const struct tr_place_request *req,
 				struct tr_random *random, apr_time_t now)
 {
-	struct capacity capacity = { .rested_at = APR_INT64_MAX };
+	struct capacity capacity = { .backoff_ends_at = APR_INT64_MAX };
 	double spread = tr_random_unit(random);
 	double after = RETRY_AFTER_DEFAULT_US;
 
@@ -414,8 +414,8 @@
 			fmax(0.25, capacity.in_flight / capacity.slots - 1);
 	else if (capacity.limits > 0)
 		after = fmin(1e6 / capacity.limits, RETRY_AFTER_MAX_US);
-	else if (capacity.rested_at != APR_INT64_MAX)
-		return capacity.rested_at - now +
+	else if (capacity.backoff_ends_at != APR_INT64_MAX)
+		return capacity.backoff_ends_at - now +
 		       (apr_time_t)(BACKOFF_JITTER_US * spread);
 	return (apr_time_t)(after * (1 + spread));
 }
--- a/lib/place.h
+++ b/lib/place.h
@@ -13,7 +13,7 @@
 	/* Expected work time, and the spread of its logarithm. */
 	apr_time_t expected_work;
 	double spread;
-	/* Age at which attempts usually turn out to have failed. */
+	/* Age at which failures of attempts are usually detected. */
 	apr_time_t failure_age;
 	/* Time left until the latency aim and until the deadline. */
 	apr_time_t aim_left;
@@ -33,7 +33,7 @@
 	/* Requests a second that this VM's group gets for the service. */
 	double request_rate;
 	/* Share of the fleet that this VM receives messages from. */
-	double heard;
+	double heard_share;
 	/* This VM's position among the VMs that send requests for the floor. */
 	struct tr_floor_rotation rotation;
 };
--- a/lib/revision.c
+++ b/lib/revision.c
@@ -2,9 +2,9 @@
 
 /*
  * Compares an offered revision with the one in force. Revisions only rise: a
- * platform that serves an old copy, or a peer that was away, must not replace
- * the document that a team has had accepted. Otherwise an old floor or route
- * would come back.
+ * platform that serves an old copy, or a peer that was cut off, must not
+ * replace the document that a team has had accepted. Otherwise an old floor or
+ * route would come back.
  */
 enum tr_revision_order tr_revision_compare(const struct tr_revision_state *held,
 					   uint64_t revision)
--- a/tests/place_test.cc
+++ b/tests/place_test.cc
@@ -331,7 +331,7 @@
 	set_limit(&roster, 1, 1, now);
 	EXPECT_EQ(draw(200)[1], 0);
 	now += TR_SEC(2);
-	req.heard = 1;
+	req.heard_share = 1;
 	for (int i = 0; i < 3; i++)
 		roster.rows[i].others_in_flight = i == 1 ? 0 : 3;
 	EXPECT_EQ(draw(20)[1], 20);
@@ -347,7 +347,7 @@
 		roster.rows[i].others_in_flight = i == 1 ? 0 : 3;
 	set_limit(&roster, 1, 1, now);
 	now += TR_SEC(2);
-	req.heard = 1;
+	req.heard_share = 1;
 	req.request_rate = 100;
 	EXPECT_LT(draw(2000)[1], 2000 / 10);
 }
@@ -362,7 +362,7 @@
 	tr_placement p;
 
 	add_many(2);
-	req.heard = 1;
+	req.heard_share = 1;
 	set_limit(&roster, 0, 0.5, now);
 	set_limit(&roster, 1, 0.5, now);
 	EXPECT_EQ(tr_place(&roster, &req, &random, now, &p), TR_PLACE_LIMITED);
@@ -392,7 +392,7 @@
 		tr_roster_mark_leaving(&roster, &roster.rows[i + 3]);
 		roster.rows[i + 6].backoff_until = now + TR_SEC(60);
 	}
-	req.heard = 1;
+	req.heard_share = 1;
 	for (int i = 0; i < 200; i++) {
 		tr_service_stats_add_outcomes(&roster.services[req.service],
 					      TR_SYMPTOM_ANSWERED, 1, now);
@@ -414,7 +414,7 @@
 	roster.rows[1].remote = true;
 	set_limit(&roster, 1, 5, now);
 	now += TR_SEC(2);
-	req.heard = 1;
+	req.heard_share = 1;
 	EXPECT_EQ(draw(200)[1], 0);
 }
 
