--- a/entry/idle.c
+++ b/entry/idle.c
@@ -51,7 +51,7 @@
 	return at ? (long)((now - at) / 1000) : -1;
 }
 
-static const char *const standing_names[] = {
+static const char *const target_state_names[] = {
 	[TR_FLOOR_ACTIVE] = "at-work",
 	[TR_FLOOR_FAILED_LATELY] = "failed-lately",
 	[TR_FLOOR_NEW] = "new",
@@ -108,7 +108,7 @@
 		 row->others_in_flight, row->full_until > now,
 		 row->unreachable_until > now, row->backoff_until > now,
 		 tr_roster_limit(&e->roster, row) != NULL,
-		 standing_names[tr_floor_target_state(&check, row, now)]);
+		 target_state_names[tr_floor_target_state(&check, row, now)]);
 }
 
 static const char *const verdict_names[] = {
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -88,13 +88,14 @@
 	apr_time_t now = entry_now(u->e);
 	apr_time_t took = now - u->sent_at;
 	apr_time_t max = u->expected * MAX_LEARNED_FACTOR;
-	bool calm = !u->queued &&
-		    tr_gray_probability(&row->gray, now) < MAX_LEARN_RISK;
+	bool uncontended = !u->queued && tr_gray_probability(&row->gray, now) <
+						 MAX_LEARN_RISK;
 
 	report_symptom(u, row, tr_gray_answer_symptom(u->stage));
 	if (row->cold_until < now)
 		tr_service_stats_add_answer(&roster->services[row->service],
-					    took < max ? took : max, calm);
+					    took < max ? took : max,
+					    uncontended);
 }
 
 /*
@@ -104,14 +105,14 @@
 static void report_refused(struct upstream *u, struct tr_instance *row)
 {
 	apr_time_t now = entry_now(u->e);
-	apr_time_t away = u->expected / row->slots;
+	apr_time_t backoff = u->expected / row->slots;
 
 	if (u->misdirected) {
 		row->unreachable_until = now + MISDIRECTED_FOR;
 		return;
 	}
-	row->full_until =
-		now + away / 2 + tr_random_below(&u->e->random, (uint32_t)away);
+	row->full_until = now + backoff / 2 +
+			  tr_random_below(&u->e->random, (uint32_t)backoff);
 	if (row->in_flight + row->others_in_flight < row->slots)
 		report_symptom(u, row, TR_SYMPTOM_LATE);
 }
