--- a/entry/caller.c
+++ b/entry/caller.c
@@ -1,3 +1,4 @@
+/* HTTP/1.1 server: accepts connections, reads requests and sends replies. */
 #include "caller.h"
 
 #include <errno.h>
--- a/entry/entry_settings.c
+++ b/entry/entry_settings.c
@@ -1,3 +1,4 @@
+/* Reads and checks the settings file of an entry VM. */
 #include "entry_settings.h"
 
 #include <arpa/inet.h>
--- a/entry/message.c
+++ b/entry/message.c
@@ -1,3 +1,4 @@
+/* Incremental parsing of HTTP/1.1 messages with http_parser. */
 #include "message.h"
 
 #include <string.h>
--- a/entry/stream.c
+++ b/entry/stream.c
@@ -1,3 +1,4 @@
+/* Non-blocking TCP sockets: addresses, connecting, reading and writing. */
 #include "stream.h"
 
 #include <arpa/inet.h>
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -1,3 +1,4 @@
+/* One attempt at a target: connecting, sending, and what its end shows. */
 #include "upstream.h"
 
 #include <stdlib.h>
--- a/lib/dispatch.c
+++ b/lib/dispatch.c
@@ -1,3 +1,4 @@
+/* Mints keys and keeps the records of requests that must not be repeated. */
 #include "dispatch.h"
 
 #include <stdlib.h>
--- a/lib/error.c
+++ b/lib/error.c
@@ -1,3 +1,4 @@
+/* Fills in and formats the reason why an input was rejected. */
 #include "error.h"
 
 #include <stdarg.h>
--- a/lib/index.h
+++ b/lib/index.h
@@ -1,3 +1,4 @@
+/* Hash index from 32-bit keys to the rows of a table. */
 #ifndef TR_INDEX_H
 #define TR_INDEX_H
 
--- a/lib/latency.c
+++ b/lib/latency.c
@@ -1,3 +1,4 @@
+/* Decaying latency histogram with exponential buckets. */
 #include "latency.h"
 
 #include <math.h>
--- a/lib/membership.c
+++ b/lib/membership.c
@@ -28,9 +28,9 @@
  * lookups, and before it counts as down. On a bad link one datagram in fifty is
  * lost: two in a row are rare, four do not occur.
  */
-#define MISSED_NAMED 2
-#define MISSED_DOWN  4
-#define SLACK	     TR_MSEC(200)
+#define MISSED_LISTED 2
+#define MISSED_DOWN   4
+#define SLACK	      TR_MSEC(200)
 /*
  * For how many of its mean gaps between messages a VM may be silent while it
  * counts as recently heard, but at least RECENT_MIN, the time that a busy VM
@@ -44,8 +44,8 @@
  * How long a VM of another group is listed in lookups, and counts as up, after
  * the last summary that listed it: the time of four and of eight summaries.
  */
-#define REMOTE_NAMED TR_MSEC(1000)
-#define REMOTE_DOWN  TR_MSEC(2000)
+#define REMOTE_LISTED TR_MSEC(1000)
+#define REMOTE_DOWN   TR_MSEC(2000)
 /*
  * Time between two probes of a lost VM's address. Surviving VMs never stop:
  * otherwise a VM that restarts when all of its seeds are down would not be
@@ -385,10 +385,10 @@
 bool tr_node_takes_callers(const struct tr_membership *m,
 			   const struct tr_node *node, apr_time_t now)
 {
-	apr_time_t span = tr_membership_period(m, now) * MISSED_NAMED + SLACK;
+	apr_time_t span = tr_membership_period(m, now) * MISSED_LISTED + SLACK;
 
 	return node->ready && !node->leaving &&
-	       heard_within(m, node, node->near ? span : REMOTE_NAMED, now);
+	       heard_within(m, node, node->near ? span : REMOTE_LISTED, now);
 }
 
 /*
--- a/lib/result.c
+++ b/lib/result.c
@@ -1,3 +1,4 @@
+/* Names, texts, outcomes and HTTP statuses of the result codes. */
 #include "result.h"
 
 #include <stddef.h>
--- a/lib/worktime.c
+++ b/lib/worktime.c
@@ -1,3 +1,4 @@
+/* Running mean and log-normal spread of response times. */
 #include "worktime.h"
 
 #include <math.h>
