--- a/src/docfile.c
+++ b/src/docfile.c
@@ -8,11 +8,11 @@
 #include "error.h"
 #include "yamlfile.h"
 
-#define MAX_NAME_CHARS 128
-#define MAX_ROUTES     512
-#define OPT	       CYAML_FLAG_OPTIONAL
-#define OPT_PTR	       (CYAML_FLAG_POINTER | CYAML_FLAG_OPTIONAL)
-#define DOC	       struct tr_document
+#define MAX_NAME_CHARS	    128
+#define MAX_DOCUMENT_ROUTES 512
+#define OPT		    CYAML_FLAG_OPTIONAL
+#define OPT_PTR		    (CYAML_FLAG_POINTER | CYAML_FLAG_OPTIONAL)
+#define DOC		    struct tr_document
 
 static const cyaml_strval_t repeat_values[] = {
 	{ "idempotent", TR_REPEAT_IDEMPOTENT },
@@ -107,7 +107,7 @@
 	CYAML_FIELD_UINT("queue", OPT, DOC, queue),
 	CYAML_FIELD_UINT("share_percent", OPT, DOC, share_percent),
 	CYAML_FIELD_SEQUENCE("routes", CYAML_FLAG_POINTER, DOC, routes, &route,
-			     0, MAX_ROUTES),
+			     0, MAX_DOCUMENT_ROUTES),
 	CYAML_FIELD_END,
 };
 
--- a/src/settings.c
+++ b/src/settings.c
@@ -16,7 +16,7 @@
 #define TEXT_CHARS 256
 #define OPT	   CYAML_FLAG_OPTIONAL
 #define PTR	   CYAML_FLAG_POINTER
-#define SET	   struct settings
+#define SETTINGS   struct settings
 
 static const cyaml_strval_t level_values[] = {
 	{ "error", LOG_LEVEL_ERROR },
@@ -30,36 +30,41 @@
 };
 
 static const cyaml_schema_field_t fields[] = {
-	CYAML_FIELD_STRING_PTR("name", PTR, SET, name, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("address", PTR, SET, address, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("data_centre", PTR, SET, data_centre, 1,
+	CYAML_FIELD_STRING_PTR("name", PTR, SETTINGS, name, 1, TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("address", PTR, SETTINGS, address, 1,
 			       TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("region", PTR | OPT, SET, region, 1, TEXT_CHARS),
-	CYAML_FIELD_UINT("port", CYAML_FLAG_DEFAULT, SET, port),
-	CYAML_FIELD_UINT("peer_port", CYAML_FLAG_DEFAULT, SET, peer_port),
-	CYAML_FIELD_UINT("operator_port", CYAML_FLAG_DEFAULT, SET,
+	CYAML_FIELD_STRING_PTR("data_centre", PTR, SETTINGS, data_centre, 1,
+			       TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("region", PTR | OPT, SETTINGS, region, 1,
+			       TEXT_CHARS),
+	CYAML_FIELD_UINT("port", CYAML_FLAG_DEFAULT, SETTINGS, port),
+	CYAML_FIELD_UINT("peer_port", CYAML_FLAG_DEFAULT, SETTINGS, peer_port),
+	CYAML_FIELD_UINT("operator_port", CYAML_FLAG_DEFAULT, SETTINGS,
 			 operator_port),
-	CYAML_FIELD_STRING_PTR("platform", PTR, SET, platform, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("fleet_key", PTR, SET, fleet_key, 1, TEXT_CHARS),
-	CYAML_FIELD_STRING_PTR("previous_fleet_key", PTR | OPT, SET,
+	CYAML_FIELD_STRING_PTR("platform", PTR, SETTINGS, platform, 1,
+			       TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("fleet_key", PTR, SETTINGS, fleet_key, 1,
+			       TEXT_CHARS),
+	CYAML_FIELD_STRING_PTR("previous_fleet_key", PTR | OPT, SETTINGS,
 			       previous_fleet_key, 1, TEXT_CHARS),
-	CYAML_FIELD_UINT("keys_remembered", OPT, SET, keys_remembered),
-	CYAML_FIELD_UINT("key_lifetime_s", OPT, SET, key_lifetime_s),
-	CYAML_FIELD_UINT("answers_mb", OPT, SET, answers_mb),
-	CYAML_FIELD_UINT("body_buffer_kb", OPT, SET, body_buffer_kb),
-	CYAML_FIELD_UINT("connections", OPT, SET, connections),
-	CYAML_FIELD_UINT("stop_after_s", OPT, SET, stop_after_s),
-	CYAML_FIELD_ENUM("log_level", OPT | CYAML_FLAG_STRICT, SET, log_level,
-			 level_values, CYAML_ARRAY_LEN(level_values)),
-	CYAML_FIELD_STRING_PTR("log_format", PTR | OPT, SET, log_format, 1,
+	CYAML_FIELD_UINT("keys_remembered", OPT, SETTINGS, keys_remembered),
+	CYAML_FIELD_UINT("key_lifetime_s", OPT, SETTINGS, key_lifetime_s),
+	CYAML_FIELD_UINT("answers_mb", OPT, SETTINGS, answers_mb),
+	CYAML_FIELD_UINT("body_buffer_kb", OPT, SETTINGS, body_buffer_kb),
+	CYAML_FIELD_UINT("connections", OPT, SETTINGS, connections),
+	CYAML_FIELD_UINT("stop_after_s", OPT, SETTINGS, stop_after_s),
+	CYAML_FIELD_ENUM("log_level", OPT | CYAML_FLAG_STRICT, SETTINGS,
+			 log_level, level_values,
+			 CYAML_ARRAY_LEN(level_values)),
+	CYAML_FIELD_STRING_PTR("log_format", PTR | OPT, SETTINGS, log_format, 1,
 			       TEXT_CHARS),
-	CYAML_FIELD_SEQUENCE("seeds", PTR | OPT, SET, seeds, &string_entry, 0,
-			     16),
+	CYAML_FIELD_SEQUENCE("seeds", PTR | OPT, SETTINGS, seeds, &string_entry,
+			     0, 16),
 	CYAML_FIELD_END,
 };
 
 static const cyaml_schema_value_t schema = {
-	CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, SET, fields),
+	CYAML_VALUE_MAPPING(CYAML_FLAG_POINTER, SETTINGS, fields),
 };
 
 static void set_defaults(struct settings *s)
--- a/tests/crash_path_test.cc
+++ b/tests/crash_path_test.cc
@@ -14,7 +14,7 @@
 {
 
 constexpr unsigned VMS = 4, TARGETS = 6;
-constexpr auto RENEW_PERIOD = std::chrono::milliseconds(300);
+constexpr auto HEARTBEAT_INTERVAL = std::chrono::milliseconds(300);
 /* The store removes an entry that is not renewed for this long. */
 constexpr auto LEASE = std::chrono::milliseconds(1500);
 constexpr auto RESTART_AFTER = std::chrono::milliseconds(800);
@@ -252,7 +252,8 @@
 					leases[s.id] = s.renewed_at + LEASE;
 					start_target(i);
 				} else if (!s.exited &&
-					   now - s.renewed_at > RENEW_PERIOD) {
+					   now - s.renewed_at >
+						   HEARTBEAT_INTERVAL) {
 					s.renew();
 				}
 			}
--- a/tests/soak/notices.h
+++ b/tests/soak/notices.h
@@ -88,7 +88,7 @@
 	};
 
 	static constexpr double NOTICE_DELAY_S = 0.5, DRAIN_S = 2, STABLE_S = 3,
-				WINDOW_S = 4;
+				LIMIT_WINDOW_S = 4;
 	static constexpr unsigned MAX_DURING_RETRY_AFTER = 2;
 
 	static bool elapsed(Time at, Time now, double s)
@@ -109,10 +109,10 @@
 		if (!elapsed(limited_since, now, STABLE_S))
 			return;
 		counted_requests.push_back(now);
-		while (seconds(now - counted_requests.front()) > WINDOW_S)
+		while (seconds(now - counted_requests.front()) > LIMIT_WINDOW_S)
 			counted_requests.pop_front();
 		if ((double)counted_requests.size() >
-		    1.5 * LIMIT * WINDOW_S + 5)
+		    1.5 * LIMIT * LIMIT_WINDOW_S + 5)
 			report_violation("VMs", "exceeded the limit together");
 	}
 
--- a/tests/soak/world.cc
+++ b/tests/soak/world.cc
@@ -10,7 +10,7 @@
 
 constexpr auto HEARTBEAT_INTERVAL = std::chrono::milliseconds(500);
 /* Time bounds are checked only after this long without a fault. */
-constexpr double SETTLE_S = 4;
+constexpr double SETTLING_S = 4;
 /* Latest request to a target after it started to drain; includes slack for
  * a busy machine. */
 constexpr double DRAIN_S = 3;
@@ -222,7 +222,8 @@
 		Clock::rep ran = p->target->last_run_at;
 
 		if (!options.bounds || !left ||
-		    seconds(Clock::now() - last_change_at) < SETTLE_S + DRAIN_S)
+		    seconds(Clock::now() - last_change_at) <
+			    SETTLING_S + DRAIN_S)
 			continue;
 		if (seconds(Clock::duration(ran - left)) > DRAIN_S)
 			ledger.report_violation(
