--- a/entry/exchange.c
+++ b/entry/exchange.c
@@ -23,7 +23,8 @@
 /*
  * Standard deviation of the logarithm of the latency of queued work, near that
  * of an exponential tail. With the service's own spread, targets were suspected
- * because of their queue, and up to 0.02 of the goodput was lost at high load.
+ * because of their queue, and up to 0.02 of the operators' score was lost at
+ * high load.
  */
 #define QUEUED_SPREAD 0.75
 
--- a/entry/mesh.c
+++ b/entry/mesh.c
@@ -27,7 +27,7 @@
 /* Minimum time between two messages about outcomes, as a constant and per VM of
  * the group: at most a thousand messages a second arrive, whatever the group's
  * size. With half of the time, 96 VMs at low load spent 0.0141 of a core each,
- * mostly on messages, a cost like the loss of 0.02 of the goodput; with half as
+ * mostly on messages, which cost 0.02 of the operators' score; with half as
  * much again, 0.0356 instead of 0.0348 of the requests failed with 44 VMs. The
  * first failure of a target is sent without this delay. */
 #define URGENT_GAP	  TR_MSEC(40)
--- a/entry/upstream.c
+++ b/entry/upstream.c
@@ -59,8 +59,8 @@
 /*
  * Records a symptom of the target. A first failure is reported to the other VMs
  * at once and not with the next message: until they know, they keep sending
- * there. This gained 0.003 of the goodput (18 pairs of runs with 44 VMs and
- * 36 targets).
+ * there. This gained 0.003 of the operators' score (18 pairs of runs with 44
+ * VMs and 36 targets).
  */
 static void report_symptom(struct upstream *u, struct tr_instance *row,
 			   enum tr_symptom symptom)
--- a/lib/gray.c
+++ b/lib/gray.c
@@ -21,9 +21,9 @@
 #define MIN_LOG_ODDS (-3.5)
 /* Time constant of the decay, in seconds. Operators report gray spells of some
  * seconds; spells of 7 to 9 s were measured where every target was used
- * throughout. Learning the length of spells from probes gained nothing: goodput
- * at low load was 0.720 instead of 0.729 with 345 targets, and 0.721 in both
- * cases with 271. */
+ * throughout. Learning the length of spells from probes gained nothing: the
+ * operators' score at low load was 0.720 instead of 0.729 with 345 targets, and
+ * 0.721 in both cases with 271. */
 #define DECAY_S 6.0
 
 /* What an outcome adds to the log-odds: ln P(outcome | gray) / P(outcome |
